--- a/tests/distribution_processes_test.cpp
+++ b/tests/distribution_processes_test.cpp
@@ -288,6 +288,7 @@
     rig.startReplica(r);
   }
   ASSERT_TRUE(rig.until([&] { return quorumAt({0, 1, 2, 3}); })) << rig.logs();
+  ASSERT_TRUE(rig.until([&] { return watched() == DistributionRig::kProxies; })) << rig.logs();
   const auto second = rig.publish(textOf(2), {0, 1, 2, 3}, "--wait 5s ");
   EXPECT_EQ(second.status, 3) << second.out;
   EXPECT_EQ(second.page().at("progress").at("held_by"), 0) << second.out;
