--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,7 @@
-// The adapter between the bench's wire and the library: it parses events, calls the Balancer of the instance
-// concerned and writes its actions. It decides nothing.
+// Connects a simulator to the load balancer library over stdin and stdout. Each input line is an event with
+// tab-separated fields; the adapter parses it, calls the Balancer of the instance that it names and writes
+// the resulting actions, one a line. Events come in rounds (ROUND to EOB), and each round is answered by its
+// actions and EOR. The adapter makes no decisions of its own.
 #include <array>
 #include <charconv>
 #include <iostream>
@@ -21,11 +23,13 @@
 
 namespace {
 
-// The parts of one line, taken from the left.
+// Reads the tab-separated fields of one line from left to right. `name` is the field's name in error
+// messages; every function throws BadField if the field is missing or malformed.
 class Fields {
  public:
   explicit Fields(std::string_view line) : rest_(line) {}
 
+  // The next field, which may be empty.
   std::string_view text(const char* name) {
     if (done_) throw BadField(name, "is missing");
     const std::size_t tab = rest_.find('\t');
@@ -38,13 +42,15 @@
     return part;
   }
 
-  std::string_view word(const char* name) {
+  // The next field, which must be neither empty nor "-", the wire's mark for an absent value.
+  std::string_view required(const char* name) {
     const std::string_view part = text(name);
     if (part.empty() || part == "-") throw BadField(name, "is empty");
     return part;
   }
 
-  std::string_view tail(const char* name) {
+  // The rest of the line with its tabs.
+  std::string_view remainder(const char* name) {
     if (done_) throw BadField(name, "is missing");
     done_ = true;
     return rest_;
@@ -52,9 +58,10 @@
 
   template <typename T>
   T number(const char* name) {
-    return parse<T>(word(name), name, 10);
+    return parse<T>(required(name), name, 10);
   }
 
+  // `fallback` if the field is empty, "-" or not there.
   template <typename T>
   T numberOr(const char* name, T fallback) {
     if (done_) return fallback;
@@ -63,7 +70,7 @@
   }
 
   RequestId request(const char* name) {
-    const std::string_view part = word(name);
+    const std::string_view part = required(name);
     if (part.size() != 16) throw BadField(name, "is not 16 hex digits");
     return parse<RequestId>(part, name, 16);
   }
@@ -89,8 +96,9 @@
     return value;
   }
 
+  // Throws if fields are left.
   void end() const {
-    if (!done_) throw BadField("end of line", "has more parts than the message");
+    if (!done_) throw BadField("end of line", "has more fields than the message");
   }
 
  private:
@@ -98,6 +106,7 @@
   bool done_ = false;
 };
 
+// Parses "name:value,name:value"; "-" or an empty field is a report without values.
 LoadReport parseReport(std::string_view text, const char* name) {
   LoadReport report;
   if (text == "-" || text.empty()) return report;
@@ -108,7 +117,7 @@
     const std::size_t colon = pair.find(':');
     if (colon == std::string_view::npos) throw BadField(name, "lacks a colon: " + std::string(pair));
     const double value = Fields::parse<double>(pair.substr(colon + 1), name, 10);
-    // The module reads one of them; the rest must be well-formed all the same.
+    // The library uses one value; the others must be well-formed too.
     if (isInFlightGauge(pair.substr(0, colon))) report.in_flight = value;
   }
   return report;
@@ -139,30 +148,30 @@
 
 class Adapter {
  public:
-  // Reads rounds until the input ends; false after a bad line.
+  // Processes rounds until the end of the input. Returns false after reporting an invalid line on stderr.
   bool run(std::istream& in, std::ostream& out) {
     std::string line;
     while (std::getline(in, line)) {
       ++line_;
       if (!line.empty() && line.back() == '\r') line.pop_back();
       try {
-        if (hosts_left_ > 0) {
-          hostLine(line);
-        } else if (eventLine(line)) {
+        if (remaining_hosts_ > 0) {
+          readHostLine(line);
+        } else if (readEventLine(line)) {
           reply_ += "EOR\n";
           out.write(reply_.data(), static_cast<std::streamsize>(reply_.size()));
           out.flush();
           reply_.clear();
         }
       } catch (const BadField& e) {
-        return complain("field " + e.field + ' ' + e.what());
+        return reportError("field " + e.field + ' ' + e.what());
       } catch (const std::invalid_argument& e) {
-        return complain(std::string("field config: ") + e.what());
+        return reportError(std::string("field config: ") + e.what());
       }
     }
-    if (in_round_ || hosts_left_ > 0) {
+    if (in_round_ || remaining_hosts_ > 0) {
       ++line_;
-      return complain("field EOB is missing: the input ends inside a round");
+      return reportError("field EOB is missing: the input ends within a round");
     }
     return true;
   }
@@ -177,13 +186,14 @@
     std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>{}(s); }
   };
 
-  bool complain(const std::string& what) const {
+  bool reportError(const std::string& what) const {
     std::cerr << "simulator_adapter: line " << line_ << ": " << what << '\n';
     return false;
   }
 
+  // The running instance that the next field names.
   Instance& instance(Fields& f) {
-    const std::string_view name = f.word("i");
+    const std::string_view name = f.required("i");
     const auto it = instances_.find(name);
     if (it == instances_.end() || !it->second.balancer) {
       throw BadField("i", "names an instance that was not started: " + std::string(name));
@@ -191,48 +201,48 @@
     return it->second;
   }
 
-  // One line of a round; true at its end.
-  bool eventLine(std::string_view line) {
+  // Handles one line of a round; true if the line ends the round.
+  bool readEventLine(std::string_view line) {
     Fields f(line);
-    const std::string_view word = f.text("message");
-    if (word == "ROUND") {
-      if (in_round_) throw BadField("message", "ROUND inside a round");
+    const std::string_view type = f.text("message");
+    if (type == "ROUND") {
+      if (in_round_) throw BadField("message", "is ROUND before the EOB of the previous round");
       now_ = f.number<Time>("clock");
       f.end();
       in_round_ = true;
       return false;
     }
-    if (!in_round_) throw BadField("message", "stands outside a round: " + std::string(word));
-    if (word == "EOB") {
+    if (!in_round_) throw BadField("message", "is outside a round: " + std::string(type));
+    if (type == "EOB") {
       f.end();
       in_round_ = false;
       return true;
     }
-    if (word == "DIRECTORY") {
-      roster(f);
-    } else if (word == "POWER_ON") {
+    if (type == "DIRECTORY") {
+      beginHostList(f);
+    } else if (type == "POWER_ON") {
       powerOn(f);
-    } else if (word == "RETIRE") {
+    } else if (type == "RETIRE") {
       instance(f).balancer.reset();
       f.end();
     } else {
-      Instance& at = instance(f);
-      event(word, *at.balancer, f);
-      write(at.name);
+      Instance& target = instance(f);
+      dispatchEvent(type, *target.balancer, f);
+      appendActions(target.name);
     }
     return false;
   }
 
   void powerOn(Fields& f) {
-    const std::string_view name = f.word("i");
+    const std::string_view name = f.required("i");
     const std::uint64_t seed = f.number<std::uint64_t>("init_seed");
-    Instance& at = instances_[std::string(name)];
-    at.name = name;
-    at.balancer = std::make_unique<Balancer>(parseSettings(f.tail("config")), seed);
+    Instance& target = instances_[std::string(name)];
+    target.name = name;
+    target.balancer = std::make_unique<Balancer>(parseSettings(f.remainder("config")), seed);
   }
 
-  void event(std::string_view word, Balancer& b, Fields& f) {
-    if (word == "JOB_IN") {
+  void dispatchEvent(std::string_view type, Balancer& b, Fields& f) {
+    if (type == "JOB_IN") {
       Request r;
       r.id = f.request("corr");
       r.time_left = f.number<Time>("left_us");
@@ -244,75 +254,78 @@
       f.end();
       r.expected_work = (bits & 1U) != 0 ? hint : 0;
       b.onRequest(now_, r, actions_);
-    } else if (word == "RETURNED") {
+    } else if (type == "RETURNED") {
       Outcome o;
       o.request = f.request("corr");
       o.attempt = f.number<std::int32_t>("round_no");
       o.result = parseResult(f.number<int>("disposition"), "disposition");
       o.final = f.flag("terminal");
       o.latency = f.numberOr<Time>("latency_us", 0);
-      f.word("host");
+      f.required("host");
       o.load = parseReport(f.text("gauge"), "gauge");
       f.end();
       b.onOutcome(now_, o, actions_);
-    } else if (word == "ELAPSED") {
+    } else if (type == "ELAPSED") {
       const std::uint64_t handle = f.number<std::uint64_t>("handle");
       f.end();
       b.onTimer(now_, handle, actions_);
-    } else if (word == "FLEET") {
-      fleet(b, f);
-    } else if (word == "STREAMING") {
+    } else if (type == "FLEET") {
+      updateHosts(b, f);
+    } else if (type == "STREAMING") {
       const RequestId id = f.request("corr");
       const std::int32_t attempt = f.number<std::int32_t>("round_no");
-      f.word("host");
+      f.required("host");
       f.numberOr<Time>("latency_us", 0);
       f.end();
       b.onResponseStarted(now_, id, attempt, actions_);
-    } else if (word == "LEFT") {
+    } else if (type == "LEFT") {
       const RequestId id = f.request("corr");
       f.end();
       b.onClientGone(now_, id, actions_);
-    } else if (word == "SAMPLED") {
-      const std::string_view host = f.word("host");
+    } else if (type == "SAMPLED") {
+      const std::string_view host = f.required("host");
       const Result result = parseResult(f.number<int>("disposition"), "disposition");
       const Time latency = f.numberOr<Time>("latency_us", 0);
       const LoadReport load = parseReport(f.text("gauge"), "gauge");
       f.end();
       b.onHealthCheck(now_, host, result == Result::Ok, latency, load, actions_);
-    } else if (word == "MESSAGE") {
-      // Balancers share nothing: what a peer says is not used.
+    } else if (type == "MESSAGE") {
+      // Balancers share no state, so messages between peers are ignored.
       f.number<std::int32_t>("sender");
       f.text("data");
       f.end();
     } else {
-      throw BadField("message", "is unknown: " + std::string(word));
+      throw BadField("message", "is unknown: " + std::string(type));
     }
   }
 
-  std::vector<Host>& rosterAt(Fields& f) {
+  // The host list whose id is the next field.
+  std::vector<Host>& hostListAt(Fields& f) {
     const int id = f.number<int>("roster_id");
-    if (id < 0 || id >= static_cast<int>(rosters_.size())) throw BadField("roster_id", "is not 0 to 15");
-    return rosters_[static_cast<std::size_t>(id)];
+    if (id < 0 || id >= static_cast<int>(host_lists_.size())) throw BadField("roster_id", "is not 0 to 15");
+    return host_lists_[static_cast<std::size_t>(id)];
   }
 
-  void roster(Fields& f) {
-    std::vector<Host>& hosts = rosterAt(f);
+  // DIRECTORY: the lines that follow replace the hosts of one list.
+  void beginHostList(Fields& f) {
+    std::vector<Host>& hosts = hostListAt(f);
     const int count = f.number<int>("nodes_list");
     f.end();
     if (count < 0) throw BadField("nodes_list", "is negative");
     hosts.clear();
-    filling_ = &hosts;
-    hosts_left_ = count;
+    open_list_ = &hosts;
+    remaining_hosts_ = count;
   }
 
-  void hostLine(std::string_view line) {
+  // One host of the list that is being read.
+  void readHostLine(std::string_view line) {
     Fields f(line);
-    if (f.text("message") != "M") throw BadField("message", "is not M, though the list has more entries");
+    if (f.text("message") != "M") throw BadField("message", "is not M, but the list has more entries");
     Host h;
     h.started_at = f.numberOr<Time>("up_since_us", 0);
     h.zone = f.numberOr<std::int32_t>("site", 0);
     h.capacity = f.numberOr<double>("capacity_hint", 1);
-    const std::string_view state = f.word("state");
+    const std::string_view state = f.required("state");
     if (state == "healthy") {
       h.state = HostState::Healthy;
     } else if (state == "cordoned") {
@@ -322,16 +335,17 @@
     } else {
       throw BadField("state", "is unknown: " + std::string(state));
     }
-    h.id = f.word("host");
+    h.id = f.required("host");
     (void)f.numberOr<std::int32_t>("model", 0);
     h.cell = f.numberOr<std::int32_t>("group", 0);
     f.end();
-    filling_->push_back(std::move(h));
-    --hosts_left_;
+    open_list_->push_back(std::move(h));
+    --remaining_hosts_;
   }
 
-  void fleet(Balancer& b, Fields& f) {
-    const std::string_view mode = f.word("mode");
+  // FLEET: passes one of the lists to the instance as an update from discovery.
+  void updateHosts(Balancer& b, Fields& f) {
+    const std::string_view mode = f.required("mode");
     ListKind kind = ListKind::Changes;
     if (mode == "replace") {
       kind = ListKind::Full;
@@ -344,72 +358,74 @@
       throw BadField("mode", "is unknown: " + std::string(mode));
     }
     f.text("version");
-    const std::vector<Host>& hosts = rosterAt(f);
+    const std::vector<Host>& hosts = hostListAt(f);
     f.end();
     b.onServers(now_, kind, hosts, actions_);
   }
 
-  void put(std::string_view text) { reply_ += text; }
+  // Append to the reply; numbers and request ids with a tab before them.
+  void append(std::string_view text) { reply_ += text; }
   template <typename T>
-  void putNumber(T value) {
+  void appendNumber(T value) {
     std::array<char, 24> buffer;
     const auto r = std::to_chars(buffer.data(), buffer.data() + buffer.size(), value);
     reply_ += '\t';
     reply_.append(buffer.data(), r.ptr);
   }
-  void putRequest(RequestId id) {
+  void appendRequestId(RequestId id) {
     static constexpr char kDigits[] = "0123456789abcdef";
     reply_ += '\t';
     for (int shift = 60; shift >= 0; shift -= 4) reply_ += kDigits[(id >> shift) & 15U];
   }
-  void begin(std::string_view word, std::string_view name) {
-    put(word);
+  void beginAction(std::string_view type, std::string_view name) {
+    append(type);
     reply_ += '\t';
-    put(name);
+    append(name);
   }
 
-  void write(std::string_view name) {
+  // Appends all pending actions, as those of instance `name`, and clears them.
+  void appendActions(std::string_view name) {
     for (const Action& a : actions_) {
       switch (a.kind) {
         case ActionKind::Send:
-          begin("PLACE", name);
-          putRequest(a.request);
+          beginAction("PLACE", name);
+          appendRequestId(a.request);
           reply_ += '\t';
-          put(a.server);
-          putNumber(a.time);
+          append(a.server);
+          appendNumber(a.time);
           break;
         case ActionKind::Cancel:
-          begin("STOP_ATTEMPT", name);
-          putRequest(a.request);
-          putNumber(a.attempt);
+          beginAction("STOP_ATTEMPT", name);
+          appendRequestId(a.request);
+          appendNumber(a.attempt);
           break;
         case ActionKind::Reject:
-          begin("DECLINE", name);
-          putRequest(a.request);
-          putNumber(a.time);
+          beginAction("DECLINE", name);
+          appendRequestId(a.request);
+          appendNumber(a.time);
           break;
         case ActionKind::Fail:
-          begin("DROP_REQUEST", name);
-          putRequest(a.request);
+          beginAction("DROP_REQUEST", name);
+          appendRequestId(a.request);
           break;
         case ActionKind::HealthCheck:
-          begin("INSPECT", name);
+          beginAction("INSPECT", name);
           reply_ += '\t';
-          put(a.server);
+          append(a.server);
           break;
         case ActionKind::Subscribe:
-          begin("WATCH", name);
-          putNumber(1);
+          beginAction("WATCH", name);
+          appendNumber(1);
           break;
         case ActionKind::SetTimer:
-          begin("AFTER", name);
-          putNumber(a.time);
-          putNumber(a.timer);
+          beginAction("AFTER", name);
+          appendNumber(a.time);
+          appendNumber(a.timer);
           break;
         case ActionKind::Log:
-          begin("TRACE", name);
+          beginAction("TRACE", name);
           reply_ += '\t';
-          put(a.text);
+          append(a.text);
           break;
       }
       reply_ += '\n';
@@ -418,9 +434,9 @@
   }
 
   std::unordered_map<std::string, Instance, NameHash, std::equal_to<>> instances_;
-  std::array<std::vector<Host>, 16> rosters_;
-  std::vector<Host>* filling_ = nullptr;
-  int hosts_left_ = 0;
+  std::array<std::vector<Host>, 16> host_lists_;
+  std::vector<Host>* open_list_ = nullptr;
+  int remaining_hosts_ = 0;
   bool in_round_ = false;
   Time now_ = 0;
   std::size_t line_ = 0;
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,4 +1,5 @@
-// Transcripts: what the adapter reads, writes and complains about, run as the real program.
+// The simulator adapter, run as a process: what it writes for given input lines, and the errors that it
+// reports for invalid ones.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,19 +13,19 @@
 
 namespace {
 
-struct Ran {
+struct RunResult {
   int code = 0;
   std::string out, err;
 };
 
-std::string slurp(const std::string& path) {
+std::string readFile(const std::string& path) {
   std::ifstream in(path);
   std::stringstream text;
   text << in.rdbuf();
   return text.str();
 }
 
-Ran runAdapter(const std::string& input) {
+RunResult runAdapter(const std::string& input) {
   std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
   std::replace(name.begin(), name.end(), '/', '_');
   const std::string base = testing::TempDir() + "/simulator_adapter_" + std::to_string(getpid()) + name;
@@ -32,9 +33,10 @@
   const std::string command =
       std::string(CLIENT_PROXY_SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   const int status = std::system(command.c_str());
-  Ran ran{WIFEXITED(status) ? WEXITSTATUS(status) : -1, slurp(base + ".out"), slurp(base + ".err")};
+  RunResult result{WIFEXITED(status) ? WEXITSTATUS(status) : -1, readFile(base + ".out"),
+                   readFile(base + ".err")};
   for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
-  return ran;
+  return result;
 }
 
 const std::string kConfig =
@@ -49,32 +51,33 @@
          "FLEET\tproxy/0\trestored\t1\t3\nEOB\n";
 }
 
-TEST(SimulatorAdapter, AnswersAnEmptyRound) {
-  const Ran r = runAdapter("ROUND\t5\nEOB\n");
+TEST(SimulatorAdapter, AnswersAnEmptyRoundWithTheEndMarkOnly) {
+  const RunResult r = runAdapter("ROUND\t5\nEOB\n");
   EXPECT_EQ(r.code, 0);
   EXPECT_EQ(r.out, "EOR\n");
   EXPECT_EQ(r.err, "");
 }
 
 TEST(SimulatorAdapter, SendsARequestToTheHealthyHost) {
-  const Ran r = runAdapter(start() +
-                           "ROUND\t1005000\nJOB_IN\tproxy/0\t741a98ca5d3a91c4\t240000\t-\t-\t0\t-\t0\nEOB\n"
-                           "ROUND\t1006000\nRETURNED\tproxy/"
-                           "0\t741a98ca5d3a91c4\t0\t0\t1\t1000\thost_a\tload_share:0.5,odd:1\nEOB\n");
+  const RunResult r =
+      runAdapter(start() +
+                 "ROUND\t1005000\nJOB_IN\tproxy/0\t741a98ca5d3a91c4\t240000\t-\t-\t0\t-\t0\nEOB\n"
+                 "ROUND\t1006000\nRETURNED\tproxy/"
+                 "0\t741a98ca5d3a91c4\t0\t0\t1\t1000\thost_a\tload_share:0.5,odd:1\nEOB\n");
   EXPECT_EQ(r.code, 0) << r.err;
   EXPECT_EQ(r.out, "EOR\nPLACE\tproxy/0\t741a98ca5d3a91c4\thost_a\t240000\nEOR\nEOR\n");
 }
 
-TEST(SimulatorAdapter, AnInstanceStartsAnew) {
-  const Ran r = runAdapter(start() + "ROUND\t2000000\nRETIRE\tproxy/0\nEOB\n" +
-                           "ROUND\t2000001\nPOWER_ON\tproxy/0\t7\t" + kConfig +
-                           "\nFLEET\tproxy/0\trestored\t1\t3\nEOB\n");
+TEST(SimulatorAdapter, ARetiredInstanceCanBePoweredOnAgain) {
+  const RunResult r = runAdapter(start() + "ROUND\t2000000\nRETIRE\tproxy/0\nEOB\n" +
+                                 "ROUND\t2000001\nPOWER_ON\tproxy/0\t7\t" + kConfig +
+                                 "\nFLEET\tproxy/0\trestored\t1\t3\nEOB\n");
   EXPECT_EQ(r.code, 0) << r.err;
   EXPECT_EQ(r.out, "EOR\nEOR\nEOR\n");
 }
 
-TEST(SimulatorAdapter, EveryEventIsUnderstood) {
-  const Ran r = runAdapter(
+TEST(SimulatorAdapter, AcceptsEveryKindOfEvent) {
+  const RunResult r = runAdapter(
       start() +
       "ROUND\t3000000\nELAPSED\tproxy/0\t77\nMESSAGE\tproxy/0\t1\t6869\nLEFT\tproxy/0\t0c5986300e6f2b19\n"
       "STREAMING\tproxy/0\t741a98ca5d3a91c4\t0\thost_a\t9250\n"
@@ -84,8 +87,8 @@
   EXPECT_EQ(r.out, "EOR\nTRACE\tproxy/0\tlist stale: discovery unavailable\nEOR\n");
 }
 
-// Instances act alike wherever they live: together in one process or each in its own.
-TEST(SimulatorAdapter, TheSameActionsInOneProcessAndInTwo) {
+// An instance's actions don't depend on whether other instances run in the same process.
+TEST(SimulatorAdapter, InstancesActTheSameInOneProcessAndInSeparateOnes) {
   const auto input = [](bool first, bool second) {
     std::string text = "ROUND\t1000000\nDIRECTORY\t3\t4\n";
     for (const char* id : {"host_a", "host_b", "host_c", "host_d"}) {
@@ -106,7 +109,7 @@
     }
     return text;
   };
-  const auto only = [](const std::string& out, const std::string& name) {
+  const auto linesNaming = [](const std::string& out, const std::string& name) {
     std::stringstream lines(out);
     std::string line, kept;
     while (std::getline(lines, line)) {
@@ -117,63 +120,70 @@
   const std::string both = runAdapter(input(true, true)).out;
   const std::string first = runAdapter(input(true, false)).out;
   const std::string second = runAdapter(input(false, true)).out;
-  EXPECT_EQ(only(both, "proxy/0"), only(first, "proxy/0"));
-  EXPECT_EQ(only(both, "proxy/1"), only(second, "proxy/1"));
-  EXPECT_NE(only(both, "proxy/0"), "");
+  EXPECT_EQ(linesNaming(both, "proxy/0"), linesNaming(first, "proxy/0"));
+  EXPECT_EQ(linesNaming(both, "proxy/1"), linesNaming(second, "proxy/1"));
+  EXPECT_NE(linesNaming(both, "proxy/0"), "");
 }
 
-struct Bad {
+struct InvalidInput {
   const char* name;
   std::string input;
   const char* line;
   const char* field;
 };
 
-std::ostream& operator<<(std::ostream& out, const Bad& bad) { return out << bad.name; }
+std::ostream& operator<<(std::ostream& out, const InvalidInput& bad) { return out << bad.name; }
 
-class SimulatorAdapterBad : public testing::TestWithParam<Bad> {};
+class SimulatorAdapterBad : public testing::TestWithParam<InvalidInput> {};
 
-TEST_P(SimulatorAdapterBad, NamesLineAndField) {
-  const Ran r = runAdapter(GetParam().input);
+TEST_P(SimulatorAdapterBad, ReportsLineAndField) {
+  const RunResult r = runAdapter(GetParam().input);
   EXPECT_NE(r.code, 0);
   EXPECT_NE(r.err.find(GetParam().line), std::string::npos) << r.err;
   EXPECT_NE(r.err.find(GetParam().field), std::string::npos) << r.err;
 }
 
-std::string without(const std::string& what, const std::string& with) {
+std::string configWith(const std::string& old_text, const std::string& new_text) {
   std::string config = kConfig;
-  config.replace(config.find(what), what.size(), with);
+  config.replace(config.find(old_text), old_text.size(), new_text);
   return config;
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Lines, SimulatorAdapterBad,
     testing::Values(
-        Bad{"clock", "ROUND\tsoon\nEOB\n", "line 1:", "clock"},
-        Bad{"outside", "JOB_IN\tproxy/0\n", "line 1:", "message"},
-        Bad{"nested", "ROUND\t1\nROUND\t2\n", "line 2:", "message"},
-        Bad{"unknown", start() + "ROUND\t2\nWHAT\tproxy/0\n", "line 9:", "message"},
-        Bad{"stranger", "ROUND\t1\nELAPSED\tproxy/9\t1\nEOB\n", "line 2:", "field i"},
-        Bad{"truncated", start() + "ROUND\t2\nJOB_IN\tproxy/0\t741a98ca5d3a91c4\nEOB\n",
-            "line 9:", "left_us"},
-        Bad{"id", start() + "ROUND\t2\nLEFT\tproxy/0\tzz\nEOB\n", "line 9:", "corr"},
-        Bad{"extra", start() + "ROUND\t2\nELAPSED\tproxy/0\t1\t2\nEOB\n", "line 9:", "end of line"},
-        Bad{"disposition",
-            start() + "ROUND\t2\nRETURNED\tproxy/0\t741a98ca5d3a91c4\t0\t99\t1\t1\thost_a\t-\nEOB\n",
-            "line 9:", "disposition"},
-        Bad{"shortlist", "ROUND\t1\nDIRECTORY\t0\t2\nEOB\n", "line 3:", "message"},
-        Bad{"state", "ROUND\t1\nDIRECTORY\t0\t1\nM\t-\t0\t1\tfine\thost_a\t0\t0\n", "line 3:", "state"},
-        Bad{"roster", "ROUND\t1\nDIRECTORY\t16\t1\n", "line 2:", "roster_id"},
-        Bad{"open", "ROUND\t1\n", "line 2:", "EOB"}, Bad{"json", start("{"), "line 2:", "config"},
-        Bad{"noclasses",
-            start(without("{\"name\": \"a\", \"goal_time_us\": 500000, \"deadline_us\": 1000000, \"effect\": "
-                          "\"fragile\"}",
-                          "")),
-            "line 2:", "request_classes"},
-        Bad{"negative", start(without("\"goal_time_us\": 500000", "\"goal_time_us\": -5")),
-            "line 2:", "request_classes[0].goal_time_us"},
-        Bad{"norule", start(without("\"cold_from\": 0.3,", "")), "line 2:", "rules.cold_from"},
-        Bad{"effect", start(without("fragile", "brittle")), "line 2:", "request_classes[0].effect"}),
-    [](const testing::TestParamInfo<Bad>& each) { return std::string(each.param.name); });
+        InvalidInput{"ClockIsNotANumber", "ROUND\tsoon\nEOB\n", "line 1:", "clock"},
+        InvalidInput{"EventOutsideARound", "JOB_IN\tproxy/0\n", "line 1:", "message"},
+        InvalidInput{"RoundWithinARound", "ROUND\t1\nROUND\t2\n", "line 2:", "message"},
+        InvalidInput{"UnknownEvent", start() + "ROUND\t2\nWHAT\tproxy/0\n", "line 9:", "message"},
+        InvalidInput{"InstanceNotStarted", "ROUND\t1\nELAPSED\tproxy/9\t1\nEOB\n", "line 2:", "field i"},
+        InvalidInput{"MissingFields", start() + "ROUND\t2\nJOB_IN\tproxy/0\t741a98ca5d3a91c4\nEOB\n",
+                     "line 9:", "left_us"},
+        InvalidInput{"MalformedRequestId", start() + "ROUND\t2\nLEFT\tproxy/0\tzz\nEOB\n", "line 9:", "corr"},
+        InvalidInput{"TooManyFields", start() + "ROUND\t2\nELAPSED\tproxy/0\t1\t2\nEOB\n",
+                     "line 9:", "end of line"},
+        InvalidInput{"UnknownDisposition",
+                     start() + "ROUND\t2\nRETURNED\tproxy/0\t741a98ca5d3a91c4\t0\t99\t1\t1\thost_a\t-\nEOB\n",
+                     "line 9:", "disposition"},
+        InvalidInput{"FewerHostsThanAnnounced", "ROUND\t1\nDIRECTORY\t0\t2\nEOB\n", "line 3:", "message"},
+        InvalidInput{"UnknownHostState", "ROUND\t1\nDIRECTORY\t0\t1\nM\t-\t0\t1\tfine\thost_a\t0\t0\n",
+                     "line 3:", "state"},
+        InvalidInput{"HostListIdOutOfRange", "ROUND\t1\nDIRECTORY\t16\t1\n", "line 2:", "roster_id"},
+        InvalidInput{"InputEndsWithinARound", "ROUND\t1\n", "line 2:", "EOB"},
+        InvalidInput{"ConfigIsNotJson", start("{"), "line 2:", "config"},
+        InvalidInput{"NoRequestClasses",
+                     start(configWith(
+                         "{\"name\": \"a\", \"goal_time_us\": 500000, \"deadline_us\": 1000000, \"effect\": "
+                         "\"fragile\"}",
+                         "")),
+                     "line 2:", "request_classes"},
+        InvalidInput{"NegativeDuration",
+                     start(configWith("\"goal_time_us\": 500000", "\"goal_time_us\": -5")),
+                     "line 2:", "request_classes[0].goal_time_us"},
+        InvalidInput{"MissingRule", start(configWith("\"cold_from\": 0.3,", "")),
+                     "line 2:", "rules.cold_from"},
+        InvalidInput{"UnknownEffect", start(configWith("fragile", "brittle")),
+                     "line 2:", "request_classes[0].effect"}),
+    [](const testing::TestParamInfo<InvalidInput>& each) { return std::string(each.param.name); });
 
 }  // namespace
