--- a/src/ownership/services.cpp
+++ b/src/ownership/services.cpp
@@ -36,7 +36,7 @@
   }
   try {
     routes_.emplace(rules);
-  } catch (const routing::RuleFault& e) {
+  } catch (const routing::InvalidRule& e) {
     throw std::runtime_error("services: route " + rules[e.rule].name + ": " + e.what());
   }
 }
@@ -45,7 +45,7 @@
                                std::string_view request_class) const {
   const routing::Target one = routing::targetOf(target);
   if (!one.ok()) return {std::nullopt, true, 0};
-  routing::Asked asked;
+  routing::RouteQuery asked;
   asked.path = one.path;
   asked.method = method;
   asked.request_class = request_class;
--- a/src/routing/include/routing/routes.h
+++ b/src/routing/include/routing/routes.h
@@ -38,7 +38,7 @@
   std::vector<HeaderRule> headers = {};
 };
 
-struct Asked {
+struct RouteQuery {
   std::string_view host = {};  // as hostOf() gives it; empty: none
   std::string_view path = {};  // as targetOf() gives it
   std::string_view method = {}, request_class = {}, tenant = {};
@@ -46,19 +46,19 @@
 };
 
 // What is wrong with rules: `rule` is the one at fault, `other` the one it is at odds with, or the same.
-struct RuleFault : std::runtime_error {
-  RuleFault(std::size_t at, std::size_t with, const std::string& what)
+struct InvalidRule : std::runtime_error {
+  InvalidRule(std::size_t at, std::size_t with, const std::string& what)
       : std::runtime_error(what), rule(at), other(with) {}
   std::size_t rule, other;
 };
 
 class Routes {
  public:
-  // Throws RuleFault.
+  // Throws InvalidRule.
   explicit Routes(std::vector<Rule> rules);
 
   // The number of the rule in the list that was given; nothing: no route.
-  std::optional<std::size_t> find(const Asked& asked) const;
+  std::optional<std::size_t> find(const RouteQuery& asked) const;
   const std::vector<Rule>& rules() const { return rules_; }
 
  private:
@@ -78,9 +78,10 @@
 
   NodeId nodeFor(std::size_t rule, bool& below);
   void add(std::size_t rule);
-  bool matches(const Rule& rule, const Asked& asked) const;
-  std::optional<std::size_t> firstOf(const std::vector<std::uint32_t>& candidates, const Asked& asked) const;
-  std::optional<std::size_t> findFrom(NodeId node, std::string_view rest, const Asked& asked) const;
+  bool matches(const Rule& rule, const RouteQuery& asked) const;
+  std::optional<std::size_t> firstOf(const std::vector<std::uint32_t>& candidates,
+                                     const RouteQuery& asked) const;
+  std::optional<std::size_t> findFrom(NodeId node, std::string_view rest, const RouteQuery& asked) const;
 
   std::vector<Rule> rules_;
   std::vector<Node> nodes_;
--- a/src/routing/routes.cpp
+++ b/src/routing/routes.cpp
@@ -62,7 +62,7 @@
   std::map<std::string_view, std::size_t> names;
   for (std::size_t i = 0; i < rules_.size(); ++i) {
     const auto [it, first] = names.emplace(rules_[i].name, i);
-    if (!first) throw RuleFault(i, it->second, "two routes are named '" + rules_[i].name + "'");
+    if (!first) throw InvalidRule(i, it->second, "two routes are named '" + rules_[i].name + "'");
     add(i);
   }
 }
@@ -73,7 +73,7 @@
     nodes_.emplace_back();
     return static_cast<NodeId>(nodes_.size() - 1);
   };
-  const auto bad = [&](const std::string& what) -> RuleFault {
+  const auto bad = [&](const std::string& what) -> InvalidRule {
     return {index, index, "route '" + rule.name + "': " + what};
   };
   NodeId node = kNone;
@@ -142,14 +142,14 @@
   auto at = list.begin();
   for (; at != list.end() && rankOf(rules_[*at]) >= rank; ++at) {
     if (rankOf(rules_[*at]) == rank && !disjoint(rules_[*at], rule))
-      throw RuleFault(index, *at,
-                      "routes '" + rules_[*at].name + "' and '" + rule.name +
-                          "' can match one request, and neither is more specific");
+      throw InvalidRule(index, *at,
+                        "routes '" + rules_[*at].name + "' and '" + rule.name +
+                            "' can match one request, and neither is more specific");
   }
   list.insert(at, static_cast<std::uint32_t>(index));
 }
 
-bool Routes::matches(const Rule& rule, const Asked& asked) const {
+bool Routes::matches(const Rule& rule, const RouteQuery& asked) const {
   if (!rule.method.empty() && rule.method != asked.method) return false;
   if (!rule.request_class.empty() && rule.request_class != asked.request_class) return false;
   if (!rule.tenant.empty() && rule.tenant != asked.tenant) return false;
@@ -161,7 +161,7 @@
 }
 
 std::optional<std::size_t> Routes::firstOf(const std::vector<std::uint32_t>& candidates,
-                                           const Asked& asked) const {
+                                           const RouteQuery& asked) const {
   for (const std::uint32_t index : candidates) {
     if (matches(rules_[index], asked)) return index;
   }
@@ -169,7 +169,7 @@
 }
 
 // As deep as the rules' longest path at most, whatever is asked.
-std::optional<std::size_t> Routes::findFrom(NodeId id, std::string_view rest, const Asked& asked) const {
+std::optional<std::size_t> Routes::findFrom(NodeId id, std::string_view rest, const RouteQuery& asked) const {
   const Node& node = nodes_[id];
   if (rest.empty()) {
     if (const auto found = firstOf(node.whole, asked)) return found;
@@ -186,7 +186,7 @@
   return firstOf(node.below, asked);
 }
 
-std::optional<std::size_t> Routes::find(const Asked& asked) const {
+std::optional<std::size_t> Routes::find(const RouteQuery& asked) const {
   if (asked.path.empty() || asked.path.front() != '/') return std::nullopt;
   if (!asked.host.empty()) {
     if (const auto it = exact_.find(asked.host); it != exact_.end()) {
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -78,7 +78,7 @@
 
 // ---- routes ----
 
-std::string found(const Routes& routes, const Asked& asked) {
+std::string found(const Routes& routes, const RouteQuery& asked) {
   const auto index = routes.find(asked);
   return index ? routes.rules()[*index].name : "none";
 }
@@ -132,7 +132,7 @@
                   {.name = "tenant", .path = "/a", .tenant = "acme"}});
   const std::vector<std::pair<std::string, std::string>> seven = {{"x-kiosk", "7"}},
                                                          eight = {{"x-kiosk", "8"}};
-  Asked asked{.path = "/a", .method = "GET"};
+  RouteQuery asked{.path = "/a", .method = "GET"};
   EXPECT_EQ(found(r, asked), "plain");
   asked.tenant = "acme";
   EXPECT_EQ(found(r, asked), "tenant");
@@ -150,7 +150,7 @@
   try {
     const Routes r(std::move(rules));
     return "none";
-  } catch (const RuleFault& f) {
+  } catch (const InvalidRule& f) {
     return f.what();
   }
 }
@@ -191,7 +191,7 @@
 }
 
 // How a rule matches, as a list that compares greater where it is more specific; nothing: it does not.
-std::optional<std::vector<int>> judged(const Rule& rule, const Asked& asked) {
+std::optional<std::vector<int>> judged(const Rule& rule, const RouteQuery& asked) {
   std::vector<int> rank;
   if (rule.host.empty()) {
     rank.push_back(0);
@@ -269,7 +269,7 @@
       const std::string host = one({"", "a.b", "c.b", "d.a.b", "b"}), method = one({"GET", "POST", "PUT"});
       std::vector<std::pair<std::string, std::string>> headers;
       if (random() % 2 == 0) headers.emplace_back("h", one({"1", "2", "3"}));
-      const Asked asked{.host = host, .path = clean, .method = method, .headers = headers};
+      const RouteQuery asked{.host = host, .path = clean, .method = method, .headers = headers};
       std::string expected = "none";
       std::vector<int> best;
       for (const Rule& rule : rules) {
