--- a/src/routing/include/routing/routes.h
+++ b/src/routing/include/routing/routes.h
@@ -1,16 +1,15 @@
-// Which route a request takes: the most specific one that matches it, by an order without ties. No I/O.
+// Selects the route of a request: the most specific rule that matches it. No I/O.
 //
-// What makes a route more specific, the first difference decides:
+// Rules are compared by these criteria in order, and the first difference decides which is more specific:
 //
-//     host     an exact name, then '*.' before a longer name, before a shorter one, then any
-//     path     part by part: a literal, then {name}, then the rest ('/*'); the whole path before '/*'
-//     method   one that is named
-//     headers  more that must be equal, then more that must be there
-//     class, tenant   one that is named
+//     host     an exact name, then '*.' with a longer name, then with a shorter one, then any host
+//     path     segment by segment: a literal, then {name}, then '/*'; '/a' before '/a/*', which matches it
+//     too method   a named one before any headers  more headers with a required value, then more headers that
+//     must be present class, tenant   a named one before any
 //
-// Where a more specific path does not match by method or header, a less specific one may. Two routes that
-// could match one request with nothing to choose between them are an error. A look-up costs by the parts of
-// the host and the path, not by the number of routes.
+// If a rule with a more specific path does not match by method or header, one with a less specific path may.
+// Two rules that can match the same request and are equally specific are an error. The cost of a lookup
+// depends on the number of segments in host and path, not on the number of rules.
 #pragma once
 
 #include <cstdint>
@@ -25,27 +24,31 @@
 
 namespace client_proxy::routing {
 
+// A header that a request must have.
 struct HeaderRule {
-  std::string name;                  // in small letters
-  std::optional<std::string> value;  // not there: the header must be there
+  std::string name;                  // in lower case
+  std::optional<std::string> value;  // the required value; none: the header must be present
 };
 
+// The conditions under which a request takes a route; all must be met.
 struct Rule {
-  std::string name = {};                                     // of the route, for messages; no two alike
+  std::string name = {};                                     // of the route, for messages; unique
   std::string host = {};                                     // "api.example", "*.example"; empty: any
   std::string path = {};                                     // "/a", "/a/{b}", "/a/*"; empty: any
   std::string method = {}, request_class = {}, tenant = {};  // empty: any
   std::vector<HeaderRule> headers = {};
 };
 
+// What a request is matched by.
 struct RouteQuery {
-  std::string_view host = {};  // as hostOf() gives it; empty: none
-  std::string_view path = {};  // as targetOf() gives it
+  std::string_view host = {};  // as returned by hostOf(); empty: none
+  std::string_view path = {};  // Target::path as returned by targetOf()
   std::string_view method = {}, request_class = {}, tenant = {};
-  std::span<const std::pair<std::string, std::string>> headers = {};  // names in small letters
+  std::span<const std::pair<std::string, std::string>> headers = {};  // names in lower case
 };
 
-// What is wrong with rules: `rule` is the one at fault, `other` the one it is at odds with, or the same.
+// Thrown for invalid rules. `rule` is the index of the invalid rule, `other` that of the rule it conflicts
+// with, or the same index if the rule is invalid by itself.
 struct InvalidRule : std::runtime_error {
   InvalidRule(std::size_t at, std::size_t with, const std::string& what)
       : std::runtime_error(what), rule(at), other(with) {}
@@ -54,11 +57,11 @@
 
 class Routes {
  public:
-  // Throws InvalidRule.
+  // Throws InvalidRule if a pattern is malformed, a name is used twice, or two rules conflict.
   explicit Routes(std::vector<Rule> rules);
 
-  // The number of the rule in the list that was given; nothing: no route.
-  std::optional<std::size_t> find(const RouteQuery& asked) const;
+  // The index in rules() of the most specific rule that matches; none if no rule does.
+  std::optional<std::size_t> find(const RouteQuery& query) const;
   const std::vector<Rule>& rules() const { return rules_; }
 
  private:
@@ -70,38 +73,39 @@
   using ByName = std::unordered_map<std::string, T, Hash, std::equal_to<>>;
   using NodeId = std::uint32_t;
   static constexpr NodeId kNone = 0xFFFFFFFFU;
-  struct Node {  // after some parts of a path
+  struct Node {  // a position in the tree of path patterns
     ByName<NodeId> literal;
-    NodeId any_part = kNone;
-    std::vector<std::uint32_t> whole, below;  // rules whose path ends here; and those with '/*' behind it
+    NodeId variable = kNone;
+    std::vector<std::uint32_t> exact, prefix;  // rules whose path ends here, without and with '/*'
   };
 
-  NodeId nodeFor(std::size_t rule, bool& below);
+  NodeId nodeFor(std::size_t rule, bool& prefix);
   void add(std::size_t rule);
-  bool matches(const Rule& rule, const RouteQuery& asked) const;
+  bool matches(const Rule& rule, const RouteQuery& query) const;
   std::optional<std::size_t> firstOf(const std::vector<std::uint32_t>& candidates,
-                                     const RouteQuery& asked) const;
-  std::optional<std::size_t> findFrom(NodeId node, std::string_view rest, const RouteQuery& asked) const;
+                                     const RouteQuery& query) const;
+  std::optional<std::size_t> findFrom(NodeId node, std::string_view rest, const RouteQuery& query) const;
 
   std::vector<Rule> rules_;
   std::vector<Node> nodes_;
-  ByName<NodeId> exact_, suffix_;  // the roots of hosts; a suffix with its dot in front
+  ByName<NodeId> exact_, suffix_;  // root nodes by host name and by host suffix, which begins with a dot
   NodeId any_host_ = kNone;
 };
 
-// One of several pools by weight, always the same for a key: also after a restart, and in every instance.
-// Where the first's weight grows, keys only move to it.
+// Chooses one of several pools by weight. A key always gets the same pool, also after a restart and in every
+// instance. If the first pool's weight grows, keys only move to that pool.
 class Split {
  public:
-  // `salt`: the route's name. Throws std::invalid_argument if the sum of the
-  // weights is 0 or above 2^32.
+  // `salt`: the route's name, so that routes split keys independently. Throws std::invalid_argument if the
+  // sum of the weights is 0 or at least 2^32.
   Split(std::string_view salt, std::span<const std::uint32_t> weights);
+  // The index of the key's pool in `weights`.
   std::size_t choose(std::string_view key) const;
 
  private:
   std::uint64_t salt_;
-  std::vector<std::uint64_t> ends_;  // of each part of the range of points, but for the last
-  std::size_t last_;                 // that has a weight
+  std::vector<std::uint64_t> ends_;  // the end of each pool's part of the hash range, except that of last_
+  std::size_t last_;                 // the last pool with a weight above 0
 };
 
 }  // namespace client_proxy::routing
--- a/src/routing/routes.cpp
+++ b/src/routing/routes.cpp
@@ -9,7 +9,7 @@
 namespace client_proxy::routing {
 namespace {
 
-// More is more specific; only what a path and a host leave open.
+// Rules with the same host and path are ordered by this rank; the greater rank is more specific.
 std::array<std::size_t, 5> rankOf(const Rule& r) {
   std::size_t equal = 0;
   for (const HeaderRule& h : r.headers) equal += h.value ? 1U : 0U;
@@ -17,11 +17,11 @@
           r.tenant.empty() ? 0U : 1U};
 }
 
-bool apart(const std::string& a, const std::string& b) { return !a.empty() && !b.empty() && a != b; }
+bool differ(const std::string& a, const std::string& b) { return !a.empty() && !b.empty() && a != b; }
 
-// No request can match both.
+// True if no request can match both rules, judged by method, class, tenant and header values.
 bool disjoint(const Rule& a, const Rule& b) {
-  if (apart(a.method, b.method) || apart(a.request_class, b.request_class) || apart(a.tenant, b.tenant))
+  if (differ(a.method, b.method) || differ(a.request_class, b.request_class) || differ(a.tenant, b.tenant))
     return true;
   for (const HeaderRule& x : a.headers) {
     for (const HeaderRule& y : b.headers) {
@@ -31,27 +31,27 @@
   return false;
 }
 
-bool isVariable(std::string_view part) {
-  return part.size() > 2 && part.front() == '{' && part.back() == '}' &&
-         part.find('{', 1) == std::string_view::npos;
+bool isVariable(std::string_view segment) {
+  return segment.size() > 2 && segment.front() == '{' && segment.back() == '}' &&
+         segment.find('{', 1) == std::string_view::npos;
 }
 
-// "/a/b" without the first part, and that part.
-std::string_view takePart(std::string_view& rest) {
+// Removes the first segment and its '/' from `rest` and returns the segment.
+std::string_view takeSegment(std::string_view& rest) {
   rest.remove_prefix(1);
   const std::size_t end = std::min(rest.find('/'), rest.size());
-  const std::string_view part = rest.substr(0, end);
+  const std::string_view segment = rest.substr(0, end);
   rest.remove_prefix(end);
-  return part;
+  return segment;
 }
 
-std::uint64_t mixed(std::uint64_t x) {  // the finaliser of splitmix64
+std::uint64_t mixed(std::uint64_t x) {  // the finalizer of splitmix64
   x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
   x = (x ^ (x >> 27)) * 0x94D049BB133111EBULL;
   return x ^ (x >> 31);
 }
 
-std::uint64_t hashOf(std::string_view text, std::uint64_t from) {  // FNV-1a: the same on every machine
+std::uint64_t hashOf(std::string_view text, std::uint64_t from) {  // FNV-1a: the same on every platform
   for (const char c : text) from = (from ^ static_cast<unsigned char>(c)) * 0x100000001B3ULL;
   return from;
 }
@@ -62,81 +62,81 @@
   std::map<std::string_view, std::size_t> names;
   for (std::size_t i = 0; i < rules_.size(); ++i) {
     const auto [it, first] = names.emplace(rules_[i].name, i);
-    if (!first) throw InvalidRule(i, it->second, "two routes are named '" + rules_[i].name + "'");
+    if (!first) throw InvalidRule(i, it->second, "two routes have the name '" + rules_[i].name + "'");
     add(i);
   }
 }
 
-Routes::NodeId Routes::nodeFor(std::size_t index, bool& below) {
+Routes::NodeId Routes::nodeFor(std::size_t index, bool& prefix) {
   const Rule& rule = rules_[index];
-  const auto fresh = [this] {
+  const auto make_node = [this] {
     nodes_.emplace_back();
     return static_cast<NodeId>(nodes_.size() - 1);
   };
-  const auto bad = [&](const std::string& what) -> InvalidRule {
+  const auto invalid = [&](const std::string& what) -> InvalidRule {
     return {index, index, "route '" + rule.name + "': " + what};
   };
   NodeId node = kNone;
   if (rule.host.empty()) {
-    if (any_host_ == kNone) any_host_ = fresh();
+    if (any_host_ == kNone) any_host_ = make_node();
     node = any_host_;
   } else {
     const bool wild = rule.host.rfind("*.", 0) == 0;
     const std::string name = wild ? rule.host.substr(2) : rule.host;
     if (name.empty() || hostOf(name) != name)
-      throw bad("'" + rule.host + "' is no host name in small letters, nor one with '*.' before it");
+      throw invalid("'" + rule.host + "' is neither a host name in lower case nor '*.' followed by one");
     auto& roots = wild ? suffix_ : exact_;
     const auto [it, first] = roots.emplace(wild ? "." + name : name, kNone);
-    if (first) it->second = fresh();
+    if (first) it->second = make_node();
     node = it->second;
   }
-  below = rule.path.empty();
-  if (below) return node;
-  if (rule.path.front() != '/') throw bad("'" + rule.path + "' does not begin with '/'");
+  prefix = rule.path.empty();
+  if (prefix) return node;
+  if (rule.path.front() != '/') throw invalid("'" + rule.path + "' does not begin with '/'");
   std::string_view rest = rule.path;
   while (!rest.empty()) {
-    const std::string_view part = takePart(rest);
-    if (part == "*") {
-      if (!rest.empty()) throw bad("'" + rule.path + "': '*' is for the end of a path");
-      below = true;
+    const std::string_view segment = takeSegment(rest);
+    if (segment == "*") {
+      if (!rest.empty()) throw invalid("'" + rule.path + "': '*' is only allowed at the end of a path");
+      prefix = true;
       return node;
     }
-    if (isVariable(part)) {
-      if (nodes_[node].any_part == kNone) {
-        const NodeId next = fresh();
-        nodes_[node].any_part = next;
+    if (isVariable(segment)) {
+      if (nodes_[node].variable == kNone) {
+        const NodeId next = make_node();
+        nodes_[node].variable = next;
       }
-      node = nodes_[node].any_part;
+      node = nodes_[node].variable;
       continue;
     }
-    if (part.find_first_of("{}*") != std::string_view::npos)
-      throw bad("'" + rule.path + "': {name} and '*' stand for whole parts");
-    if (part.empty() && !rest.empty()) throw bad("'" + rule.path + "' has an empty part");
-    const auto it = nodes_[node].literal.find(part);
+    if (segment.find_first_of("{}*") != std::string_view::npos)
+      throw invalid("'" + rule.path + "': {name} and '*' must be whole segments");
+    if (segment.empty() && !rest.empty()) throw invalid("'" + rule.path + "' has an empty segment");
+    const auto it = nodes_[node].literal.find(segment);
     if (it != nodes_[node].literal.end()) {
       node = it->second;
       continue;
     }
-    // A spelling that no request comes in any more would never match.
-    if (!part.empty()) {
-      std::string alone = "/";
-      alone += part;
-      const Target t = targetOf(alone);
-      if (!t.ok() || t.path != alone || !t.query.empty())
-        throw bad("'" + rule.path + "': '" + std::string(part) +
-                  "' is not in the form that requests are brought into");
+    // Requests are matched after normalization, so a literal that is not normalized would never match.
+    if (!segment.empty()) {
+      std::string literal_path = "/";
+      literal_path += segment;
+      const Target t = targetOf(literal_path);
+      if (!t.ok() || t.path != literal_path || !t.query.empty())
+        throw invalid("'" + rule.path + "': '" + std::string(segment) +
+                      "' is not in the normalized form that requests are matched in");
     }
-    const NodeId next = fresh();
-    nodes_[node].literal.emplace(part, next);
+    const NodeId next = make_node();
+    nodes_[node].literal.emplace(segment, next);
     node = next;
   }
   return node;
 }
 
 void Routes::add(std::size_t index) {
-  bool below = false;
-  const NodeId node = nodeFor(index, below);
-  std::vector<std::uint32_t>& list = below ? nodes_[node].below : nodes_[node].whole;
+  bool prefix = false;
+  const NodeId node = nodeFor(index, prefix);
+  std::vector<std::uint32_t>& list = prefix ? nodes_[node].prefix : nodes_[node].exact;
   const Rule& rule = rules_[index];
   const auto rank = rankOf(rule);
   auto at = list.begin();
@@ -144,63 +144,63 @@
     if (rankOf(rules_[*at]) == rank && !disjoint(rules_[*at], rule))
       throw InvalidRule(index, *at,
                         "routes '" + rules_[*at].name + "' and '" + rule.name +
-                            "' can match one request, and neither is more specific");
+                            "' can match the same request, and neither is more specific");
   }
   list.insert(at, static_cast<std::uint32_t>(index));
 }
 
-bool Routes::matches(const Rule& rule, const RouteQuery& asked) const {
-  if (!rule.method.empty() && rule.method != asked.method) return false;
-  if (!rule.request_class.empty() && rule.request_class != asked.request_class) return false;
-  if (!rule.tenant.empty() && rule.tenant != asked.tenant) return false;
+bool Routes::matches(const Rule& rule, const RouteQuery& query) const {
+  if (!rule.method.empty() && rule.method != query.method) return false;
+  if (!rule.request_class.empty() && rule.request_class != query.request_class) return false;
+  if (!rule.tenant.empty() && rule.tenant != query.tenant) return false;
   return std::all_of(rule.headers.begin(), rule.headers.end(), [&](const HeaderRule& h) {
-    return std::any_of(asked.headers.begin(), asked.headers.end(), [&](const auto& given) {
-      return given.first == h.name && (!h.value || given.second == *h.value);
+    return std::any_of(query.headers.begin(), query.headers.end(), [&](const auto& header) {
+      return header.first == h.name && (!h.value || header.second == *h.value);
     });
   });
 }
 
 std::optional<std::size_t> Routes::firstOf(const std::vector<std::uint32_t>& candidates,
-                                           const RouteQuery& asked) const {
+                                           const RouteQuery& query) const {
   for (const std::uint32_t index : candidates) {
-    if (matches(rules_[index], asked)) return index;
+    if (matches(rules_[index], query)) return index;
   }
   return std::nullopt;
 }
 
-// As deep as the rules' longest path at most, whatever is asked.
-std::optional<std::size_t> Routes::findFrom(NodeId id, std::string_view rest, const RouteQuery& asked) const {
+// The recursion is at most as deep as the longest path among the rules, whatever path is requested.
+std::optional<std::size_t> Routes::findFrom(NodeId id, std::string_view rest, const RouteQuery& query) const {
   const Node& node = nodes_[id];
   if (rest.empty()) {
-    if (const auto found = firstOf(node.whole, asked)) return found;
-    return firstOf(node.below, asked);
+    if (const auto found = firstOf(node.exact, query)) return found;
+    return firstOf(node.prefix, query);
   }
-  std::string_view after = rest;
-  const std::string_view part = takePart(after);
-  if (const auto it = node.literal.find(part); it != node.literal.end()) {
-    if (const auto found = findFrom(it->second, after, asked)) return found;
+  std::string_view remainder = rest;
+  const std::string_view segment = takeSegment(remainder);
+  if (const auto it = node.literal.find(segment); it != node.literal.end()) {
+    if (const auto found = findFrom(it->second, remainder, query)) return found;
   }
-  if (node.any_part != kNone && !part.empty()) {
-    if (const auto found = findFrom(node.any_part, after, asked)) return found;
+  if (node.variable != kNone && !segment.empty()) {
+    if (const auto found = findFrom(node.variable, remainder, query)) return found;
   }
-  return firstOf(node.below, asked);
+  return firstOf(node.prefix, query);
 }
 
-std::optional<std::size_t> Routes::find(const RouteQuery& asked) const {
-  if (asked.path.empty() || asked.path.front() != '/') return std::nullopt;
-  if (!asked.host.empty()) {
-    if (const auto it = exact_.find(asked.host); it != exact_.end()) {
-      if (const auto found = findFrom(it->second, asked.path, asked)) return found;
+std::optional<std::size_t> Routes::find(const RouteQuery& query) const {
+  if (query.path.empty() || query.path.front() != '/') return std::nullopt;
+  if (!query.host.empty()) {
+    if (const auto it = exact_.find(query.host); it != exact_.end()) {
+      if (const auto found = findFrom(it->second, query.path, query)) return found;
     }
-    // "*.example" is for names below it, not for "example" itself.
-    for (std::size_t dot = asked.host.find('.'); !suffix_.empty() && dot != std::string_view::npos;
-         dot = asked.host.find('.', dot + 1)) {
-      const auto it = dot == 0 ? suffix_.end() : suffix_.find(asked.host.substr(dot));
+    // "*.example" matches subdomains of "example", not "example" itself.
+    for (std::size_t dot = query.host.find('.'); !suffix_.empty() && dot != std::string_view::npos;
+         dot = query.host.find('.', dot + 1)) {
+      const auto it = dot == 0 ? suffix_.end() : suffix_.find(query.host.substr(dot));
       if (it == suffix_.end()) continue;
-      if (const auto found = findFrom(it->second, asked.path, asked)) return found;
+      if (const auto found = findFrom(it->second, query.path, query)) return found;
     }
   }
-  return any_host_ == kNone ? std::nullopt : findFrom(any_host_, asked.path, asked);
+  return any_host_ == kNone ? std::nullopt : findFrom(any_host_, query.path, query);
 }
 
 Split::Split(std::string_view salt, std::span<const std::uint32_t> weights)
@@ -211,7 +211,7 @@
     if (weights[i] > 0) last_ = i;
   }
   if (total == 0) throw std::invalid_argument("all weights are 0");
-  if (total >> 32 != 0) throw std::invalid_argument("the weights are too large");
+  if (total >> 32 != 0) throw std::invalid_argument("the sum of the weights is 2^32 or more");
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < last_; ++i) {
     sum += weights[i];
--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -6,7 +6,7 @@
 namespace client_proxy::routing {
 namespace {
 
-int digit(char c) {
+int hexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
   if (c >= 'A' && c <= 'F') return c - 'A' + 10;
@@ -20,29 +20,32 @@
 
 bool isVisible(char c) { return c > 0x20 && c < 0x7F; }
 
-// The path with each escape in its one form; what is wrong with it, or nothing.
-std::string_view unescaped(std::string_view path, std::string& out) {
+// Appends the path to `out` with its escapes normalized. Returns why the path is rejected; empty: it is
+// valid.
+std::string_view normalizeEscapes(std::string_view path, std::string& out) {
   constexpr std::string_view kHex = "0123456789ABCDEF";
   out.reserve(path.size());
   for (std::size_t i = 0; i < path.size(); ++i) {
     const char c = path[i];
-    if (!isVisible(c)) return "a character that no path may hold";
-    if (c == '\\') return "a backslash: a slash to some hosts";
-    if (c == ';') return "a ';': some hosts cut the path off there";
+    if (!isVisible(c)) return "the path contains a space, a control character or a non-ASCII byte";
+    if (c == '\\') return "the path contains a backslash, which some hosts treat as a slash";
+    if (c == ';') return "the path contains ';', where some hosts cut the path off";
     if (c != '%') {
       out += c;
       continue;
     }
-    const int high = i + 2 < path.size() ? digit(path[i + 1]) : -1, low = high < 0 ? -1 : digit(path[i + 2]);
-    if (low < 0) return "a '%' without two hexadecimal digits";
+    const int high = i + 2 < path.size() ? hexDigit(path[i + 1]) : -1,
+              low = high < 0 ? -1 : hexDigit(path[i + 2]);
+    if (low < 0) return "the path contains '%' without two hexadecimal digits";
     const auto byte = static_cast<unsigned char>(high * 16 + low);
-    const char meant = static_cast<char>(byte);
-    if (meant == '/' || meant == '\\') return "an escaped slash: a slash to some hosts";
-    if (meant == ';') return "an escaped ';': some hosts cut the path off there";
-    if (byte < 0x20 || byte == 0x7F) return "an escaped control character";
+    const char decoded = static_cast<char>(byte);
+    if (decoded == '/' || decoded == '\\')
+      return "the path contains an escaped slash, which some hosts treat as a slash";
+    if (decoded == ';') return "the path contains an escaped ';', where some hosts cut the path off";
+    if (byte < 0x20 || byte == 0x7F) return "the path contains an escaped control character";
     i += 2;
-    if (isUnreserved(meant)) {
-      out += meant;
+    if (isUnreserved(decoded)) {
+      out += decoded;
     } else {
       out += '%';
       out += kHex[static_cast<std::size_t>(high)];
@@ -52,27 +55,27 @@
   return {};
 }
 
-// Without '.', '..' and empty parts; false: it leads above its root.
-bool withoutDots(std::string_view path, std::string& out) {
-  std::vector<std::size_t> starts;  // where each part of `out` begins, its '/' included
+// Appends the path to `out` without '.', '..' and empty segments. False if a '..' leads above the root.
+bool removeDotSegments(std::string_view path, std::string& out) {
+  std::vector<std::size_t> starts;  // the offset in `out` of each segment's '/'
   out.reserve(path.size());
-  bool at_end = false;  // the last part leaves a '/' behind
+  bool trailing_slash = false;  // the last segment was dropped, so the path ends with '/'
   for (std::size_t from = 1; from <= path.size();) {
     const std::size_t to = std::min(path.find('/', from), path.size());
-    const std::string_view part = path.substr(from, to - from);
-    at_end = part.empty() || part == "." || part == "..";
-    if (part == "..") {
+    const std::string_view segment = path.substr(from, to - from);
+    trailing_slash = segment.empty() || segment == "." || segment == "..";
+    if (segment == "..") {
       if (starts.empty()) return false;
       out.resize(starts.back());
       starts.pop_back();
-    } else if (!at_end) {
+    } else if (!trailing_slash) {
       starts.push_back(out.size());
       out += '/';
-      out += part;
+      out += segment;
     }
     from = to + 1;
   }
-  if (at_end || out.empty()) out += '/';
+  if (trailing_slash || out.empty()) out += '/';
   return true;
 }
 
@@ -80,21 +83,22 @@
 
 Target targetOf(std::string_view text) {
   Target t;
-  const auto faulty = [](std::string_view why) {
-    Target bad;
-    bad.fault = why;
-    return bad;
+  const auto rejected = [](std::string_view why) {
+    Target result;
+    result.fault = why;
+    return result;
   };
-  if (text.empty() || text.front() != '/') return faulty("it does not begin with '/'");
-  if (text.find('#') != std::string_view::npos) return faulty("a '#': that part is never sent");
-  const std::size_t mark = std::min(text.find('?'), text.size());
-  t.query = std::string(text.substr(mark));
+  if (text.empty() || text.front() != '/') return rejected("the target does not begin with '/'");
+  if (text.find('#') != std::string_view::npos)
+    return rejected("the target contains '#': a fragment is not part of a request");
+  const std::size_t query_start = std::min(text.find('?'), text.size());
+  t.query = std::string(text.substr(query_start));
   if (!std::all_of(t.query.begin(), t.query.end(), isVisible))
-    return faulty("a character that no query may hold");
+    return rejected("the query contains a space, a control character or a non-ASCII byte");
   std::string path;
-  if (const std::string_view fault = unescaped(text.substr(0, mark), path); !fault.empty())
-    return faulty(fault);
-  if (!withoutDots(path, t.path)) return faulty("'..' above the root");
+  if (const std::string_view fault = normalizeEscapes(text.substr(0, query_start), path); !fault.empty())
+    return rejected(fault);
+  if (!removeDotSegments(path, t.path)) return rejected("'..' leads above the root");
   return t;
 }
 
