--- a/tests/change_preview_test.cpp
+++ b/tests/change_preview_test.cpp
@@ -1,4 +1,4 @@
-// What was served as a bounded sample, and a pending change of routes tried on it.
+// The bounded sample of recorded traffic, and the preview of a pending change of routes that replays it.
 #include "change_preview/change_preview.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 constexpr Time kSecond = 1'000'000;
 
-TEST(RecordTest, RareClassesAreInItAndWeightsMakeItStandForAll) {
+TEST(RecordTest, RareClassesAreRepresentedAndWeightsAddUpToAllRequests) {
   NameTable names;
   TrafficSample r(1280, 3600 * kSecond, 3);
   const auto busy = names.numberOf("slot-status"), rare = names.numberOf("refund"),
@@ -33,14 +33,15 @@
   std::map<std::uint16_t, std::size_t> held;
   for (const auto& [e, weight] : r.sample()) weights[e.request_class] += weight, ++held[e.request_class];
   EXPECT_EQ(held[rare], 10U);
-  EXPECT_EQ(held[busy], 10U) << "so many each";
+  EXPECT_EQ(held[busy], 10U) << "each stratum holds 1280 / 2 / 64 entries";
   EXPECT_NEAR(weights[rare], 10, 1e-6);
   EXPECT_NEAR(weights[busy], 99'990, 1e-3);
-  EXPECT_EQ(r.seen(), 100'000U);
+  EXPECT_EQ(r.requestCount(), 100'000U);
 }
 
-// 400 seeded samples: the part of a thing is told without bias, and within two of its own deviations mostly.
-TEST(RecordTest, ASampleIsNotBiased) {
+// Estimates a fraction from 400 seeded samples: the mean must be unbiased, and about 95 % of the estimates
+// must be within 1.96 standard deviations.
+TEST(RecordTest, EstimatesFromSamplesAreUnbiased) {
   double sum = 0;
   int within = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
@@ -51,17 +52,17 @@
       e.zone = i % 4 == 0 ? 1 : 2;
       r.note(e);
     }
-    double of = 0, all = 0;
-    for (const auto& [e, weight] : r.sample()) all += weight, of += e.zone == 1 ? weight : 0;
-    sum += of / all;
-    within += std::abs(of / all - 0.25) < 1.96 * std::sqrt(0.25 * 0.75 / 100) ? 1 : 0;
+    double in_zone = 0, all = 0;
+    for (const auto& [e, weight] : r.sample()) all += weight, in_zone += e.zone == 1 ? weight : 0;
+    sum += in_zone / all;
+    within += std::abs(in_zone / all - 0.25) < 1.96 * std::sqrt(0.25 * 0.75 / 100) ? 1 : 0;
   }
   EXPECT_NEAR(sum / 400, 0.25, 0.01);
   EXPECT_GT(within, 400 * 0.90);
   EXPECT_LT(within, 400 * 0.99);
 }
 
-TEST(RecordTest, TheOlderHalfIsForgottenAndMorePairsThanStrataShareOne) {
+TEST(RecordTest, OldGenerationIsDroppedAlsoWithMorePairsThanStrata) {
   TrafficSample r(1280, 100 * kSecond, 1);
   for (std::uint16_t i = 1; i <= 200; ++i) {
     SampledRequest e;
@@ -70,23 +71,23 @@
     r.note(e);
   }
   for (const auto& [e, weight] : r.sample()) EXPECT_GT(e.at, 95 * kSecond);
-  EXPECT_LE(r.seen(), 105U);
+  EXPECT_LE(r.requestCount(), 105U);
 }
 
-TEST(RecordTest, PathsKeepTheirShapeAndNoId) {
+TEST(RecordTest, ShapeOmitsIdsAndNameTableIsBounded) {
   EXPECT_EQ(traffic_sample::shapeOf("/slot-status/x"), "/slot-status/x");
   EXPECT_EQ(traffic_sample::shapeOf("/v1/swap-charge/rider-4711/refund"), "/v1/swap-charge/~/refund");
   NameTable names;
   EXPECT_EQ(names.numberOf("a"), names.numberOf("a"));
   for (int i = 0; i < 6000; ++i) names.numberOf("n" + std::to_string(i));
-  EXPECT_EQ(names.size(), NameTable::kMost);
+  EXPECT_EQ(names.size(), NameTable::kMaxNames);
   EXPECT_EQ(names.numberOf("one more"), NameTable::kOther);
   EXPECT_EQ(names.at(names.numberOf("n7")), "n7");
 }
 
-// ---- the rehearsal ----
+// ---- the replay ----
 
-// Classes 1 to 6 by a table: of each a service and the zone that has it.
+// A services file: for each of the classes 1 to 6 its service and the zone that owns the service.
 struct File {
   struct Row {
     std::int32_t service = -1;
@@ -94,7 +95,7 @@
   };
   std::vector<Row> rows = std::vector<Row>(7);
   std::vector<std::string> services = {"s0", "s1", "s2"};
-  RoutingSnapshot side() const {
+  RoutingSnapshot snapshot() const {
     RoutingSnapshot s;
     for (std::size_t i = 0; i < rows.size(); ++i) s.routes.push_back("r" + std::to_string(i));
     s.place = [this](const SampledRequest& e) {
@@ -117,13 +118,14 @@
   return n;
 }
 
-// A thousand pairs of files over records that hold everything: what is told is what a plain count tells.
-TEST(Rehearsal, EqualsAPlainCountOnAThousandPairsOfFiles) {
+// A thousand random pairs of files, replayed over samples that hold every request: the totals must equal a
+// direct count.
+TEST(Rehearsal, TotalsEqualADirectCountForRandomPairsOfFiles) {
   load_balancer::Random random(9);
   const NameTable names = namesOf();
   for (int round = 0; round < 1000; ++round) {
-    File now, then;
-    for (File* f : {&now, &then}) {
+    File now, pending;
+    for (File* f : {&now, &pending}) {
       for (std::size_t c = 1; c < 7; ++c) {
         f->rows[c].service = static_cast<std::int32_t>(random.below(4)) - 1;
         f->rows[c].zone = std::string(1, static_cast<char>('a' + random.below(3)));
@@ -140,7 +142,7 @@
       e.idempotency = static_cast<Idempotency>(random.below(3));
       e.work = 1;
       record.note(e);
-      const File::Row &b = now.rows[e.request_class], &a = then.rows[e.request_class];
+      const File::Row &b = now.rows[e.request_class], &a = pending.rows[e.request_class];
       const std::string bz = b.service < 0 ? "" : b.zone, az = a.service < 0 ? "" : a.zone;
       work[e.idempotency != Idempotency::Idempotent && !az.empty() ? az : names.at(e.zone)] += 1;
       if (e.idempotency == Idempotency::Idempotent) continue;
@@ -148,7 +150,7 @@
       left += b.service >= 0 && a.service < 0 ? 1 : 0;
       moved += bz != az ? 1 : 0;
     }
-    const PreviewTotals t = replay(record, names, now.side(), then.side(), 2 * kSecond);
+    const PreviewTotals t = replay(record, names, now.snapshot(), pending.snapshot(), 2 * kSecond);
     ASSERT_NEAR(t.keys_split, split, 1e-9) << round;
     ASSERT_NEAR(t.left_alone, left, 1e-9) << round;
     ASSERT_NEAR(t.to_other_site, moved, 1e-9) << round;
@@ -159,8 +161,8 @@
 
 class Judged : public ::testing::Test {
  protected:
-  PreviewTotals over(const File& now, const File& then,
-                     Idempotency idempotency = Idempotency::IdempotentWithKey, int requests = 5000) {
+  PreviewTotals totalsOf(const File& now, const File& pending,
+                         Idempotency idempotency = Idempotency::IdempotentWithKey, int requests = 5000) {
     TrafficSample record(128 * 5000, 3600 * kSecond, 1);
     for (int i = 0; i < requests; ++i) {
       SampledRequest e;
@@ -172,55 +174,64 @@
       e.work = 0.01F;
       record.note(e);
     }
-    PreviewTotals t = replay(record, names, now.side(), then.side(), 11 * kSecond);
+    PreviewTotals t = replay(record, names, now.snapshot(), pending.snapshot(), 11 * kSecond);
     t.routes.erase("r0");
     return t;
   }
-  File all(std::int32_t service, const std::string& zone) const {
+  File allClasses(std::int32_t service, const std::string& zone) const {
     File f;
     for (std::size_t c = 1; c < 7; ++c) f.rows[c] = {service, zone};
     return f;
   }
   const NameTable names = namesOf();
-  const std::map<std::string, double> rooms = {{"a", 20}, {"b", 20}};
+  const std::map<std::string, double> zone_capacity = {{"a", 20}, {"b", 20}};
 };
 
-TEST_F(Judged, AServiceThatMovesByItsDeedIsSafe) {
-  const Assessment v = assess(over(all(0, "a"), all(0, "b")), rooms, 1, 0, {});
+TEST_F(Judged, MovingAWholeServiceToAnotherZoneIsSafe) {
+  const Assessment v = assess(totalsOf(allClasses(0, "a"), allClasses(0, "b")), zone_capacity, 1, 0, {});
   EXPECT_EQ(v.risk, Risk::Safe) << (v.causes.empty() ? "" : v.causes[0]);
   EXPECT_LT(v.error, 0.02);
 }
 
-TEST_F(Judged, KeysThatChangeSiteBetweenTwoServicesAreNeverSafe) {
-  const Assessment v = assess(over(all(0, "a"), all(1, "b")), rooms, 1, 0, {});
+TEST_F(Judged, KeysThatChangeServiceAndSiteAreUnsafe) {
+  const Assessment v = assess(totalsOf(allClasses(0, "a"), allClasses(1, "b")), zone_capacity, 1, 0, {});
   EXPECT_EQ(v.risk, Risk::Unsafe);
   EXPECT_EQ(v.causes[0].rfind("unsafe: 100.0 % of the requests", 0), 0U) << v.causes[0];
-  EXPECT_EQ(assess(over(all(0, "a"), all(1, "a")), rooms, 1, 0, {}).risk, Risk::Safe) << "the same site";
-  EXPECT_EQ(assess(over(all(0, "a"), all(-1, "")), rooms, 1, 0, {}).risk, Risk::Unsafe);
-  EXPECT_EQ(assess(over(all(0, "a"), all(1, "b"), Idempotency::Idempotent), rooms, 1, 0, {}).risk,
+  EXPECT_EQ(assess(totalsOf(allClasses(0, "a"), allClasses(1, "a")), zone_capacity, 1, 0, {}).risk,
+            Risk::Safe)
+      << "the same site";
+  EXPECT_EQ(assess(totalsOf(allClasses(0, "a"), allClasses(-1, "")), zone_capacity, 1, 0, {}).risk,
+            Risk::Unsafe);
+  EXPECT_EQ(assess(totalsOf(allClasses(0, "a"), allClasses(1, "b"), Idempotency::Idempotent), zone_capacity,
+                   1, 0, {})
+                .risk,
             Risk::Safe);
 }
 
-TEST_F(Judged, ALoadBeyondAZonesRoomAMemberThatIsMissingAndAnUnusedRouteAreRisky) {
-  const PreviewTotals t = over(all(0, "a"), all(0, "b"));
-  const auto first = [](const Assessment& v) { return v.causes.empty() ? std::string() : v.causes[0]; };
+TEST_F(Judged, OverloadMissingMembersDifferingFilesUnusedRoutesAndSmallSamplesAreRisky) {
+  const PreviewTotals t = totalsOf(allClasses(0, "a"), allClasses(0, "b"));
+  const auto firstCause = [](const Assessment& v) { return v.causes.empty() ? std::string() : v.causes[0]; };
   const Assessment full = assess(t, {{"b", 5}}, 1, 0, {});
   EXPECT_EQ(full.risk, Risk::Risky);
-  EXPECT_EQ(first(full), "risky: zone b would be at 100.0 % of its room");
-  EXPECT_EQ(first(assess(t, rooms, 12, 0, {})), "risky: only 1 of 12 members have told");
-  EXPECT_EQ(first(assess(t, rooms, 1, 2, {})), "risky: 2 members have another pending file");
-  File some = all(0, "b");
+  EXPECT_EQ(firstCause(full), "risky: zone b would be at 100.0 % of its capacity");
+  EXPECT_EQ(firstCause(assess(t, zone_capacity, 12, 0, {})), "risky: only 1 of 12 members have reported");
+  EXPECT_EQ(firstCause(assess(t, zone_capacity, 1, 2, {})), "risky: 2 members have a different pending file");
+  File some = allClasses(0, "b");
   some.rows[6].service = -1;
-  const PreviewTotals unused = over(File{}, some);
-  EXPECT_EQ(first(assess(unused, rooms, 1, 0, {})), "risky: route r6 was not used by any recorded request");
-  EXPECT_EQ(assess(over(all(0, "a"), all(0, "b"), Idempotency::IdempotentWithKey, 30), rooms, 1, 0, {}).risk,
+  const PreviewTotals unused = totalsOf(File{}, some);
+  EXPECT_EQ(firstCause(assess(unused, zone_capacity, 1, 0, {})),
+            "risky: route r6 was not used by any recorded request");
+  EXPECT_EQ(assess(totalsOf(allClasses(0, "a"), allClasses(0, "b"), Idempotency::IdempotentWithKey, 30),
+                   zone_capacity, 1, 0, {})
+                .risk,
             Risk::Risky)
-      << "too few requests to tell";
+      << "the sample is too small";
 }
 
-TEST_F(Judged, TalliesOfMembersAddUpInAnyOrder) {
-  const PreviewTotals x = over(all(0, "a"), all(1, "b")), y = over(all(0, "a"), all(-1, "")),
-                      z = over(File{}, all(2, "a"));
+TEST_F(Judged, TotalsOfMembersAddUpInAnyOrder) {
+  const PreviewTotals x = totalsOf(allClasses(0, "a"), allClasses(1, "b")),
+                      y = totalsOf(allClasses(0, "a"), allClasses(-1, "")),
+                      z = totalsOf(File{}, allClasses(2, "a"));
   PreviewTotals one = x, two = z;
   one.add(y), one.add(z);
   two.add(x), two.add(y);
@@ -230,9 +241,9 @@
   for (const auto& [zone, work] : one.work) EXPECT_NEAR(work, two.work.at(zone), 1e-6);
 }
 
-TEST_F(Judged, AJudgementIsVoidAsSoonAsWhatItRestsOnIsAnother) {
+TEST_F(Judged, AssessmentIsVoidWhenAnyInputChanges) {
   const PreviewInputs g{1, 2, 3, 4};
-  const Assessment v = assess(over(all(0, "a"), all(0, "b")), rooms, 1, 0, g);
+  const Assessment v = assess(totalsOf(allClasses(0, "a"), allClasses(0, "b")), zone_capacity, 1, 0, g);
   EXPECT_TRUE(v.holds(g));
   for (const PreviewInputs& other : {PreviewInputs{9, 2, 3, 4}, PreviewInputs{1, 9, 3, 4},
                                      PreviewInputs{1, 2, 9, 4}, PreviewInputs{1, 2, 3, 9}})
