--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -96,7 +96,7 @@
   for (RequestId id = 1; id <= 60; ++id) {
     d.now += 100 * kMs;
     d.request(id, 0);
-    EXPECT_FALSE(d.traced("subset lengthened")) << id;
+    EXPECT_FALSE(d.logged("subset lengthened")) << id;
   }
   EXPECT_EQ(d.balancer.subset(d.now).size(), 6U);
 }
@@ -121,7 +121,7 @@
   d.servers(ListKind::Restored, makeHosts(2));
   d.request(1, 4);
   const std::string busy = d.sentTo();
-  d.gone(1);
+  d.clientDisconnected(1);
   for (RequestId id = 2; id <= 5; ++id) {
     d.request(id, 4);
     EXPECT_NE(d.sentTo(), busy);
@@ -150,7 +150,7 @@
     d.timer(handle);
   }
   EXPECT_TRUE(d.checker.requests.at(1).ended);
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
 TEST(Answers, LessTimeThanATickIsRefusedAtOnce) {
@@ -399,7 +399,7 @@
   d.servers(ListKind::Restored, makeHosts(8));
   d.request(1, 0);
   d.outcome(1, 0, Result::ConnectFailed);
-  d.gone(1);
+  d.clientDisconnected(1);
   ASSERT_EQ(d.count(ActionKind::Cancel), 1);
   EXPECT_EQ(d.actions.at(0).attempt, 1);
 }
@@ -558,18 +558,18 @@
   d.servers(ListKind::Restored, makeHosts(40));
   d.request(1, 0);
   d.outcome(1, 0, Result::ConnectFailed);
-  EXPECT_TRUE(d.traced("ejected "));
+  EXPECT_TRUE(d.logged("ejected "));
   d.outcome(1, 1, Result::ConnectFailed);
-  EXPECT_FALSE(d.traced("ejected "));  // within the same second
+  EXPECT_FALSE(d.logged("ejected "));  // within the same second
   d.servers(ListKind::Unavailable, {});
-  EXPECT_TRUE(d.traced("list stale"));
+  EXPECT_TRUE(d.logged("list stale"));
   d.now += 2 * kSec;
   d.servers(ListKind::Full, makeHosts(40));
-  EXPECT_TRUE(d.traced("list fresh"));
+  EXPECT_TRUE(d.logged("list fresh"));
   bool lengthened = false, begun = false, ended = false;
   for (RequestId id = 10; id <= 300; ++id) {
     d.request(id, 0);
-    lengthened |= d.traced("subset lengthened to ");
+    lengthened |= d.logged("subset lengthened to ");
   }
   EXPECT_TRUE(lengthened);
   for (RequestId id = 301; id <= 800; ++id) {
@@ -577,8 +577,8 @@
     if (d.count(ActionKind::Send) == 0) continue;
     d.now += 20 * kMs;
     d.outcome(id, 0, Result::Ok, id < 360 ? 499 * kMs : 5 * kMs);
-    begun |= d.traced("shedding begun");
-    ended |= d.traced("shedding ended");
+    begun |= d.logged("shedding begun");
+    ended |= d.logged("shedding ended");
   }
   EXPECT_TRUE(begun);
   EXPECT_TRUE(ended);
@@ -764,7 +764,7 @@
   for (RequestId id = 30; id < 60; ++id) {
     d.request(id, 4);
     d.outcome(id, 0, Result::InvalidResponse, 10 * kMs);
-    ejected |= d.traced("ejected");
+    ejected |= d.logged("ejected");
   }
   EXPECT_TRUE(ejected);
 }
@@ -781,7 +781,7 @@
               : id % 20 == 10 ? Result::RequestIncomplete
                               : Result::Ok,
               5 * kMs);
-    ejected |= d.traced("ejected");
+    ejected |= d.logged("ejected");
     if (id % 10 == 0) d.outcome(id, 1, Result::Ok, 5 * kMs);
   }
   EXPECT_FALSE(ejected);
@@ -800,7 +800,7 @@
   ASSERT_EQ(d.sentTo(), first);  // two each, or so: the third is with the first again
   d.now += 10 * kMs;
   d.outcome(3, 0, Result::ConnectFailed);
-  ASSERT_TRUE(d.traced("ejected"));
+  ASSERT_TRUE(d.logged("ejected"));
   d.now += 10 * kMs;
   d.outcome(1, 0, Result::Ok, 10 * kMs);
   ASSERT_EQ(d.balancer.subset(d.now).size(), 2U);
@@ -927,7 +927,7 @@
   int late = 0;
   for (int n = 0; n < 30; ++n) {
     late += answered({1}, {}) ? 0 : 1;
-    ASSERT_FALSE(d.traced("ejected zone"));
+    ASSERT_FALSE(d.logged("ejected zone"));
     ASSERT_EQ(zonesInUse().count(1), 1U);
   }
   EXPECT_GT(late, 0);
@@ -960,7 +960,7 @@
     d.now += 20 * kMs;
     d.outcome(last, 0, bad ? Result::ConnectFailed : Result::Ok, 20 * kMs);
     if (bad) d.outcome(last, 1, Result::Ok, 20 * kMs);
-    EXPECT_FALSE(d.traced("ejected zone"));
+    EXPECT_FALSE(d.logged("ejected zone"));
   }
   EXPECT_EQ(zonesInUse().count(1), 1U);
 }
@@ -983,7 +983,7 @@
   };
   const std::string bad = "server-000";
   int before = 0;
-  for (; before < 5 && !d.traced("ejected"); ++before) ASSERT_TRUE(failsAt(bad));
+  for (; before < 5 && !d.logged("ejected"); ++before) ASSERT_TRUE(failsAt(bad));
   EXPECT_EQ(before, 2) << "two in a row, the first time";
   d.now += 2 * kSec;
   d.request(++last, 4);
@@ -992,7 +992,7 @@
   d.probe(bad, true);
   d.now += 10 * kSec;  // warm, and what it did is half forgotten
   ASSERT_TRUE(failsAt(bad));
-  EXPECT_TRUE(d.traced("ejected"));
+  EXPECT_TRUE(d.logged("ejected"));
 }
 
 }  // namespace
--- a/tests/combination_test.cpp
+++ b/tests/combination_test.cpp
@@ -70,7 +70,7 @@
   fresh[0].state = HostState::Draining;
   d.servers(ListKind::Full, fresh);
   EXPECT_GE(play(d, 100, 60, 20 * kMs, gone), 58);
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
 TEST(Combination, AHotCallerWhilePartOfItsSubsetIsSilent) {
@@ -98,7 +98,7 @@
   EXPECT_GT(d.balancer.subset(d.now).size(), 12U);
   EXPECT_GT(to_silent, 0);
   EXPECT_LT(late, 15);  // an even part of a subset of 80 would be 15 of 300
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
 TEST(Combination, TheWholeListDrainsAndComesBack) {
@@ -111,7 +111,7 @@
   EXPECT_EQ(play(d, 100, 20, kMs, kFine), 0);
   d.servers(ListKind::Changes, makeHosts(10));
   EXPECT_GE(play(d, 200, 20, 50 * kMs, kFine), 20);
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
 TEST(Combination, EveryMemberFailsFastAndRecovers) {
@@ -136,7 +136,7 @@
   EXPECT_EQ(play(d, 1000, 400, 5 * kMs, [&](const std::string& s) { return used.insert(s), Result::Ok; }),
             400);
   EXPECT_EQ(d.balancer.subset(d.now).size(), 12U);
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
 class ClockOffset : public testing::TestWithParam<Time> {};
@@ -207,7 +207,7 @@
   EXPECT_GE(play(d, 1, 200, 20 * kMs,
                  [&](const std::string&) { return ++fail % 10 == 0 ? Result::TimedOut : Result::Ok; }),
             150);
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
 // ---- cost: sizes and counts, never time ----
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
-// The four rules: the gate as a table, a seeded random walk over legal events, and proof that the checker
-// which judges that walk catches broken action streams.
+// The four rules of rule_checker.h: a table of when a request may be retried, a seeded random sequence of
+// valid events, and tests that the checker detects violations.
 #include <gtest/gtest.h>
 
 #include <queue>
@@ -11,27 +11,27 @@
 namespace load_balancer::test {
 namespace {
 
-// ---- the gate: effect x outcome x window edge ----
+// ---- retries: idempotency x result x time within or after the window ----
 
-struct GateCase {
-  std::int32_t cls;      // 0 safe, 1 keyed all, 2 keyed zone, 3 keyed cell, 4 unsafe
+struct RetryCase {
+  std::int32_t cls;      // index into the classes of makeSettings()
   Result result;         // of the first attempt
-  Time after;            // when it came
-  bool may_send;         // may a second attempt follow (and if so, does it)
-  ActionKind otherwise;  // else this answer is owed
+  Time after;            // its latency
+  bool may_send;         // true: a second attempt must follow
+  ActionKind otherwise;  // the answer if no second attempt may follow
 };
 
-std::ostream& operator<<(std::ostream& out, const GateCase& c) {
+std::ostream& operator<<(std::ostream& out, const RetryCase& c) {
   return out << "class " << c.cls << " result " << static_cast<int>(c.result) << " after " << c.after;
 }
 
-class Gate : public testing::TestWithParam<GateCase> {};
+class Gate : public testing::TestWithParam<RetryCase> {};
 
-TEST_P(Gate, SecondAttemptOrAnswer) {
-  const GateCase& c = GetParam();
+TEST_P(Gate, IsRetriedOrAnsweredByIdempotencyResultAndWindow) {
+  const RetryCase& c = GetParam();
   Settings settings = makeSettings();
   for (RequestClass& k : settings.classes)
-    k.latency_objective = k.deadline;  // so that the window decides, not the aim
+    k.latency_objective = k.deadline;  // so that the deduplication window decides
   Driver d(settings);
   d.servers(ListKind::Restored, makeHosts(24));
   d.request(7, c.cls);
@@ -46,46 +46,46 @@
     EXPECT_EQ(d.count(ActionKind::Send), 0);
     EXPECT_EQ(d.count(c.otherwise), 1);
   }
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
-constexpr auto kRefuse = ActionKind::Reject;
+constexpr auto kReject = ActionKind::Reject;
 constexpr auto kFail = ActionKind::Fail;
 INSTANTIATE_TEST_SUITE_P(Table, Gate,
                          testing::Values(
-                             // a spoilt answer may have run; a request found at fault is not repeated
-                             GateCase{0, Result::InvalidResponse, 100 * kMs, true, kRefuse},
-                             GateCase{4, Result::InvalidResponse, 100 * kMs, false, kFail},
-                             GateCase{0, Result::BadRequest, 100 * kMs, false, kFail},
-                             GateCase{4, Result::BadRequest, 100 * kMs, false, kFail},
-                             // never ran: every class may go on
-                             GateCase{0, Result::ConnectFailed, 100 * kMs, true, kRefuse},
-                             GateCase{1, Result::ConnectFailed, 1200 * kMs, true, kRefuse},
-                             GateCase{2, Result::Rejected, 1200 * kMs, true, kRefuse},
-                             GateCase{3, Result::NotSent, 1200 * kMs, true, kRefuse},
-                             GateCase{4, Result::Rejected, 100 * kMs, true, kRefuse},
-                             GateCase{4, Result::RequestIncomplete, 100 * kMs, true, kRefuse},
-                             GateCase{4, Result::ConnectFailed, 100 * kMs, true, kRefuse},
-                             GateCase{4, Result::NotSent, 100 * kMs, true, kRefuse},
-                             // may have run: safe goes on
-                             GateCase{0, Result::Error, 100 * kMs, true, kRefuse},
-                             GateCase{0, Result::Reset, 1200 * kMs, true, kRefuse},
-                             GateCase{0, Result::TimedOut, 1200 * kMs, true, kRefuse},
-                             GateCase{0, Result::Cancelled, 100 * kMs, true, kRefuse},
-                             // may have run: keyed goes on inside its window (900 ms) only
-                             GateCase{1, Result::Error, 894 * kMs, true, kRefuse},
-                             GateCase{1, Result::Error, 901 * kMs, false, kRefuse},
-                             GateCase{2, Result::TimedOut, 894 * kMs, true, kFail},
-                             GateCase{2, Result::TimedOut, 901 * kMs, false, kFail},
-                             GateCase{3, Result::Reset, 894 * kMs, true, kFail},
-                             GateCase{3, Result::Reset, 901 * kMs, false, kFail},
-                             // may have run: unsafe never
-                             GateCase{4, Result::Error, 100 * kMs, false, kFail},
-                             GateCase{4, Result::Reset, 100 * kMs, false, kFail},
-                             GateCase{4, Result::TimedOut, 100 * kMs, false, kFail},
-                             GateCase{4, Result::Cancelled, 100 * kMs, false, kFail}));
+                             // invalid response: may have run; bad request: never retried
+                             RetryCase{0, Result::InvalidResponse, 100 * kMs, true, kReject},
+                             RetryCase{4, Result::InvalidResponse, 100 * kMs, false, kFail},
+                             RetryCase{0, Result::BadRequest, 100 * kMs, false, kFail},
+                             RetryCase{4, Result::BadRequest, 100 * kMs, false, kFail},
+                             // never ran: every class may be retried
+                             RetryCase{0, Result::ConnectFailed, 100 * kMs, true, kReject},
+                             RetryCase{1, Result::ConnectFailed, 1200 * kMs, true, kReject},
+                             RetryCase{2, Result::Rejected, 1200 * kMs, true, kReject},
+                             RetryCase{3, Result::NotSent, 1200 * kMs, true, kReject},
+                             RetryCase{4, Result::Rejected, 100 * kMs, true, kReject},
+                             RetryCase{4, Result::RequestIncomplete, 100 * kMs, true, kReject},
+                             RetryCase{4, Result::ConnectFailed, 100 * kMs, true, kReject},
+                             RetryCase{4, Result::NotSent, 100 * kMs, true, kReject},
+                             // may have run: idempotent requests may be retried
+                             RetryCase{0, Result::Error, 100 * kMs, true, kReject},
+                             RetryCase{0, Result::Reset, 1200 * kMs, true, kReject},
+                             RetryCase{0, Result::TimedOut, 1200 * kMs, true, kReject},
+                             RetryCase{0, Result::Cancelled, 100 * kMs, true, kReject},
+                             // may have run: with a key, may be retried within the window (900 ms) only
+                             RetryCase{1, Result::Error, 894 * kMs, true, kReject},
+                             RetryCase{1, Result::Error, 901 * kMs, false, kReject},
+                             RetryCase{2, Result::TimedOut, 894 * kMs, true, kFail},
+                             RetryCase{2, Result::TimedOut, 901 * kMs, false, kFail},
+                             RetryCase{3, Result::Reset, 894 * kMs, true, kFail},
+                             RetryCase{3, Result::Reset, 901 * kMs, false, kFail},
+                             // may have run: non-idempotent requests are never retried
+                             RetryCase{4, Result::Error, 100 * kMs, false, kFail},
+                             RetryCase{4, Result::Reset, 100 * kMs, false, kFail},
+                             RetryCase{4, Result::TimedOut, 100 * kMs, false, kFail},
+                             RetryCase{4, Result::Cancelled, 100 * kMs, false, kFail}));
 
-TEST(GateTest, AttemptLimit) {
+TEST(GateTest, RequestIsRejectedAfterMaxAttempts) {
   Settings settings = makeSettings();
   settings.max_attempts = 2;
   Driver d(settings);
@@ -98,17 +98,17 @@
   EXPECT_EQ(d.count(ActionKind::Reject), 1);
 }
 
-TEST(GateTest, NeverTwoAttemptsAtOnce) {
+TEST(GateTest, SecondAttemptWaitsForTheFirst) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(24));
   d.request(7, 0);
   EXPECT_EQ(d.count(ActionKind::Send), 1);
-  EXPECT_EQ(d.count(ActionKind::SetTimer), 0);  // the attempt's own time-out is enough
+  EXPECT_EQ(d.count(ActionKind::SetTimer), 0);  // no timer: the attempt's own timeout suffices
 }
 
 // ---- the checker itself ----
 
-Actions one(Action a) {
+Actions listOf(Action a) {
   Actions list;
   list.push_back(std::move(a));
   return list;
@@ -127,54 +127,54 @@
     }
   }
   void send(RequestId id, const char* server, Time at = kStart) {
-    checker.check(at, one({.kind = ActionKind::Send, .request = id, .server = server}));
+    checker.check(at, listOf({.kind = ActionKind::Send, .request = id, .server = server}));
   }
-  bool caught(const std::string& what) const {
-    for (const std::string& b : checker.broken) {
-      if (b.find(what) != std::string::npos) return true;
+  bool caught(const std::string& text) const {
+    for (const std::string& b : checker.violations) {
+      if (b.find(text) != std::string::npos) return true;
     }
     return false;
   }
   RuleChecker checker;
 };
 
-TEST_F(Checker, AcceptsAPlainSend) {
+TEST_F(Checker, AcceptsASendToAHealthyServer) {
   send(5, "server-000");
-  EXPECT_TRUE(checker.broken.empty());
+  EXPECT_TRUE(checker.violations.empty());
 }
 TEST_F(Checker, CatchesASecondAnswer) {
-  checker.check(kStart, one({.kind = ActionKind::Reject, .request = 1}));
-  checker.check(kStart, one({.kind = ActionKind::Fail, .request = 1}));
-  EXPECT_TRUE(caught("rule 1: a second answer"));
+  checker.check(kStart, listOf({.kind = ActionKind::Reject, .request = 1}));
+  checker.check(kStart, listOf({.kind = ActionKind::Fail, .request = 1}));
+  EXPECT_TRUE(caught("rule 1: second answer"));
 }
 TEST_F(Checker, CatchesASendAfterTheAnswer) {
-  checker.check(kStart, one({.kind = ActionKind::Reject, .request = 1}));
+  checker.check(kStart, listOf({.kind = ActionKind::Reject, .request = 1}));
   send(1, "server-000");
   EXPECT_TRUE(caught("rule 1: send after"));
 }
-TEST_F(Checker, CatchesALateAndAMissingAnswer) {
-  checker.check(kStart + 2 * kSec, one({.kind = ActionKind::Reject, .request = 1}));
+TEST_F(Checker, CatchesALateAnswerAndAMissingAnswer) {
+  checker.check(kStart + 2 * kSec, listOf({.kind = ActionKind::Reject, .request = 1}));
   EXPECT_TRUE(caught("rule 1: answered too late"));
   checker.finish(kStart + 2 * kSec);
-  EXPECT_TRUE(caught("rule 1: never answered"));
+  EXPECT_TRUE(caught("rule 1: request never answered"));
 }
-TEST_F(Checker, CatchesAnUnsafeRepeatAndRefusal) {
+TEST_F(Checker, CatchesARetryAndARejectionOfANonIdempotentRequest) {
   send(5, "server-000");
   send(5, "server-001");
-  EXPECT_TRUE(caught("rule 2: unsafe"));
-  checker.check(kStart, one({.kind = ActionKind::Reject, .request = 5}));
-  EXPECT_TRUE(caught("rule 2: refused"));
+  EXPECT_TRUE(caught("rule 2: non-idempotent request sent again"));
+  checker.check(kStart, listOf({.kind = ActionKind::Reject, .request = 5}));
+  EXPECT_TRUE(caught("rule 2: rejected"));
 }
-TEST_F(Checker, CatchesAnotherZoneCellAndALateRepeat) {
+TEST_F(Checker, CatchesARetryInAnotherZoneOrCellOrAfterTheWindow) {
   send(3, "server-000");
   send(3, "server-001");
-  EXPECT_TRUE(caught("rule 2: another zone"));
+  EXPECT_TRUE(caught("rule 2: retry in another zone"));
   send(4, "server-000");
   send(4, "server-005");
-  EXPECT_TRUE(caught("rule 2: another cell"));
+  EXPECT_TRUE(caught("rule 2: retry in another cell"));
   send(2, "server-000");
   send(2, "server-001", kStart + 901 * kMs);
-  EXPECT_TRUE(caught("rule 2: after the window"));
+  EXPECT_TRUE(caught("rule 2: retry after the window"));
 }
 TEST_F(Checker, CatchesASendToADrainingServer) {
   checker.servers(kStart, ListKind::Changes, {makeHost(0, HostState::Draining)});
@@ -186,72 +186,74 @@
   send(1, "server-006");
   EXPECT_TRUE(caught("rule 3"));
 }
-TEST_F(Checker, CatchesTooMuchForAColdServer) {
-  Host cold = makeHost(0);
-  cold.started_at = kStart;
-  checker.cold_rate = 1;  // over 4.8 members, times 3, a quarter of the capacity, two seconds: 0.3
-  checker.cold_slack = 1;
-  checker.servers(kStart, ListKind::Changes, {cold});
+TEST_F(Checker, CatchesTooManySendsToAServerInSlowStart) {
+  Host starting = makeHost(0);
+  starting.started_at = kStart;
+  // The bound is 1 request per second / 4.8 members * factor 3 * capacity 0.25 * 2 s = 0.3 requests.
+  checker.client_request_rate = 1;
+  checker.slow_start_slack = 1;
+  checker.servers(kStart, ListKind::Changes, {starting});
   send(1, "server-000", kStart + 1);
   EXPECT_FALSE(caught("rule 4"));
   send(2, "server-000", kStart + 2);
   EXPECT_TRUE(caught("rule 4"));
 }
 
-// ---- a random walk over legal events ----
+// ---- a random sequence of valid events ----
 
-struct Pending {
+struct PendingEvent {
   Time at;
   std::uint64_t order;
-  enum class What { Outcome, Timer, Deadline } what;
+  enum class Kind { Outcome, Timer, Deadline } kind;
   RequestId request;
   std::int32_t attempt;
   Result result;
   std::uint64_t handle;
   Time sent;
-  bool operator<(const Pending& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+  bool operator<(const PendingEvent& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
 };
 
 class RandomWalk : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomWalk, KeepsTheRules) {
-  std::mt19937_64 dice(GetParam());
-  const auto roll = [&](std::uint64_t n) { return static_cast<Time>(dice() % n); };
+TEST_P(RandomWalk, KeepsTheFourRules) {
+  std::mt19937_64 random(GetParam());
+  const auto below = [&](std::uint64_t n) { return static_cast<Time>(random() % n); };
   Settings settings = makeSettings();
-  settings.may_cancel = roll(2) == 0;
-  settings.may_health_check = roll(2) == 0;
-  settings.discovery = roll(2) == 0 ? Discovery::Poll : Discovery::Push;
-  settings.max_attempts = static_cast<std::int32_t>(1 + roll(6));
-  settings.client = static_cast<std::uint32_t>(roll(40));
+  settings.may_cancel = below(2) == 0;
+  settings.may_health_check = below(2) == 0;
+  settings.discovery = below(2) == 0 ? Discovery::Poll : Discovery::Push;
+  settings.max_attempts = static_cast<std::int32_t>(1 + below(6));
+  settings.client = static_cast<std::uint32_t>(below(40));
   settings.tenants = {{0.7}, {0.3}};
-  for (RequestClass& c : settings.classes) c.late_weight = roll(2) == 0 ? 0.5 : 0;
+  for (RequestClass& c : settings.classes) c.late_weight = below(2) == 0 ? 0.5 : 0;
   Driver d(settings, GetParam());
-  d.checker.cold_rate = 50;  // one arrival in 20 ms on average
-  const int fleet = static_cast<int>(1 + roll(40));
-  d.servers(ListKind::Restored, roll(8) == 0 ? std::vector<Host>{} : makeHosts(fleet));
-  std::priority_queue<Pending> pending;
+  d.checker.client_request_rate = 50;  // one request every 20 ms on average
+  const int host_count = static_cast<int>(1 + below(40));
+  d.servers(ListKind::Restored, below(8) == 0 ? std::vector<Host>{} : makeHosts(host_count));
+  std::priority_queue<PendingEvent> pending;
   std::uint64_t order = 0;
   std::map<RequestId, Time> deadline;
   const auto carryOut = [&] {
     for (const Action& a : d.actions) {
       if (a.kind == ActionKind::SetTimer) {
-        pending.push({a.time + roll(6 * kMs), order++, Pending::What::Timer, 0, 0, Result::Ok, a.timer, 0});
+        pending.push(
+            {a.time + below(6 * kMs), order++, PendingEvent::Kind::Timer, 0, 0, Result::Ok, a.timer, 0});
       } else if (a.kind == ActionKind::HealthCheck) {
-        // answered below at once or never: both are legal for a checker of rules
+        // never reported: the rules hold whether or not a health check ends
       } else if (a.kind == ActionKind::Send) {
         static constexpr Result kAll[] = {Result::Ok,    Result::Ok,           Result::Ok,
                                           Result::Error, Result::Rejected,     Result::TimedOut,
                                           Result::Reset, Result::ConnectFailed};
-        Result result = kAll[roll(8)];
+        Result result = kAll[below(8)];
         const Time limit = std::min(deadline[a.request], a.time > 0 ? d.now + a.time : deadline[a.request]);
-        Time at = d.now + roll(static_cast<std::uint64_t>(kSec));
+        Time at = d.now + below(static_cast<std::uint64_t>(kSec));
         if (result == Result::TimedOut || at >= limit) {
           result = Result::TimedOut;
           at = limit;
         }
         const auto attempt = static_cast<std::int32_t>(d.checker.requests.at(a.request).attempts.size() - 1);
-        pending.push(
-            {std::max(at, d.now + 1), order++, Pending::What::Outcome, a.request, attempt, result, 0, d.now});
+        pending.push({std::max(at, d.now + 1), order++, PendingEvent::Kind::Outcome, a.request, attempt,
+                      result, 0, d.now});
       }
     }
   };
@@ -264,49 +266,49 @@
     if (!arrival && pending.empty()) break;
     if (arrival) {
       d.now = next_arrival;
-      next_arrival += roll(40 * kMs);
-      if (roll(60) == 0) {  // news of the list
+      next_arrival += below(40 * kMs);
+      if (below(60) == 0) {  // an update from discovery
         std::vector<Host> hosts;
-        const int kind = static_cast<int>(roll(4));
-        for (int n = 0; n < fleet * 2; ++n) {
-          if (kind == 0 && roll(10) != 0) continue;
-          if (kind == 1 && roll(4) == 0) continue;
-          const auto mood = roll(10);
-          Host h = makeHost(n, mood == 0 ? HostState::Draining : HostState::Healthy);
-          if (mood == 1 && kind == 0) h.state = HostState::Gone;
-          if (mood < 4) h.started_at = d.now - roll(20 * kSec);
+        const int kind = static_cast<int>(below(4));
+        for (int n = 0; n < host_count * 2; ++n) {
+          if (kind == 0 && below(10) != 0) continue;
+          if (kind == 1 && below(4) == 0) continue;
+          const auto condition = below(10);
+          Host h = makeHost(n, condition == 0 ? HostState::Draining : HostState::Healthy);
+          if (condition == 1 && kind == 0) h.state = HostState::Gone;
+          if (condition < 4) h.started_at = d.now - below(20 * kSec);
           hosts.push_back(h);
         }
         if (kind <= 1) d.servers(kind == 0 ? ListKind::Changes : ListKind::Full, hosts);
         if (kind == 2) d.servers(ListKind::Unavailable, {});
-        if (kind <= 2) carryOut();  // else nothing was called, and the last actions have been carried out
+        if (kind <= 2) carryOut();  // otherwise there are no new actions
       }
-      const Time left = roll(20) == 0 ? roll(3 * kMs) : 100 * kMs + roll(2 * kSec);
+      const Time left = below(20) == 0 ? below(3 * kMs) : 100 * kMs + below(2 * kSec);
       deadline[next_id] = d.now + left;
-      d.request(next_id, static_cast<std::int32_t>(roll(5)), left, static_cast<std::int32_t>(roll(3)) - 1);
+      d.request(next_id, static_cast<std::int32_t>(below(5)), left, static_cast<std::int32_t>(below(3)) - 1);
       carryOut();
-      if (roll(50) == 0 && !d.checker.requests.at(next_id).ended) {
-        d.gone(next_id);
+      if (below(50) == 0 && !d.checker.requests.at(next_id).ended) {
+        d.clientDisconnected(next_id);
         carryOut();
       }
       ++next_id;
       continue;
     }
-    const Pending p = pending.top();
+    const PendingEvent p = pending.top();
     pending.pop();
     d.now = std::max(d.now, p.at);
-    if (p.what == Pending::What::Timer) {
+    if (p.kind == PendingEvent::Kind::Timer) {
       d.timer(p.handle);
     } else {
       d.outcome(p.request, p.attempt, p.result, d.now - p.sent, d.checker.requests.at(p.request).ended);
     }
     carryOut();
-    if (d.now > end + 30 * kSec) break;  // discovery timers go on for ever
+    if (d.now > end + 30 * kSec) break;  // the timers of discovery never end
   }
   d.checker.finish(d.now + 10 * kSec);
-  EXPECT_EQ(d.checker.broken, std::vector<std::string>{});
+  EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
   EXPECT_GT(d.checker.requests.size(), 100U);
-  EXPECT_EQ(d.balancer.liveRequests(), 0U);  // nothing of ended requests is kept
+  EXPECT_EQ(d.balancer.liveRequests(), 0U);  // ended requests are not kept
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomWalk, testing::Range<std::uint64_t>(1, 61));
--- a/tests/support.h
+++ b/tests/support.h
@@ -1,4 +1,5 @@
-// Shared by the tests: settings and hosts made up for them, and a small driver around one Balancer.
+// Shared by tests of the library: settings and hosts to test with, and a driver around one Balancer that
+// checks every action against the rules. Times are in microseconds.
 #pragma once
 
 #include <string>
@@ -11,7 +12,7 @@
 
 constexpr Time kMs = 1000;
 constexpr Time kSec = 1'000'000;
-constexpr Time kStart = 5'000'000'000;
+constexpr Time kStart = 5'000'000'000;  // the clock at the start of each test
 
 inline RequestClass makeClass(Idempotency idempotency,
                               DeduplicationScope deduplication_scope = DeduplicationScope::All) {
@@ -25,7 +26,8 @@
   return c;
 }
 
-// Classes: 0 safe, 1 keyed (all), 2 keyed (zone), 3 keyed (cell), 4 unsafe.
+// Request classes: 0 idempotent; 1, 2 and 3 idempotent with a key, deduplicated by all hosts, within the zone
+// and within the cell; 4 non-idempotent.
 inline Settings makeSettings() {
   Settings s;
   s.classes = {makeClass(Idempotency::Idempotent),
@@ -45,6 +47,7 @@
   return s;
 }
 
+// Host "server-00n" in zone n mod 3 and cell n / 4.
 inline Host makeHost(int n, HostState state = HostState::Healthy) {
   Host h;
   h.id = "server-" + std::string(n < 10 ? "00" : n < 100 ? "0" : "") + std::to_string(n);
@@ -60,7 +63,8 @@
   return hosts;
 }
 
-// One Balancer with a checker beside it: each call passes on the event and judges the actions.
+// One Balancer and a checker. Each function reports an event to both at the time `now`, checks the resulting
+// actions and returns them; they stay in `actions` until the next event.
 class Driver {
  public:
   explicit Driver(const Settings& settings, std::uint64_t seed = 1)
@@ -93,29 +97,31 @@
   const Actions& timer(std::uint64_t handle) {
     return act([&](Actions& out) { balancer.onTimer(now, handle, out); });
   }
-  const Actions& gone(RequestId id) {
-    checker.gone(id);
+  const Actions& clientDisconnected(RequestId id) {
+    checker.clientDisconnected(id);
     return act([&](Actions& out) { balancer.onClientGone(now, id, out); });
   }
-  const Actions& probe(const std::string& server, bool ok, double holds = -1) {
+  const Actions& probe(const std::string& server, bool ok, double in_flight = -1) {
     LoadReport load;
-    load.in_flight = holds;
+    load.in_flight = in_flight;
     return act([&](Actions& out) { balancer.onHealthCheck(now, server, ok, kMs, load, out); });
   }
 
-  // The server of the only Send in the last actions; empty if there was none.
+  // The server of the first Send in the last actions; empty if there is none.
   std::string sentTo() const {
     for (const Action& a : actions) {
       if (a.kind == ActionKind::Send) return std::string(a.server);
     }
     return {};
   }
+  // The reason of the first Send in the last actions.
   Reason reason() const {
     for (const Action& a : actions) {
       if (a.kind == ActionKind::Send) return a.reason;
     }
     return Reason::None;
   }
+  // The servers of all HealthChecks in the last actions.
   std::vector<std::string> probed() const {
     std::vector<std::string> ids;
     for (const Action& a : actions) {
@@ -123,7 +129,8 @@
     }
     return ids;
   }
-  bool traced(const std::string& text) const {
+  // True if a Log in the last actions begins with `text`.
+  bool logged(const std::string& text) const {
     for (const Action& a : actions) {
       if (a.kind == ActionKind::Log && a.text.find(text) == 0) return true;
     }
