--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,5 @@
-// What the module decides, one small test for each thing it is to do or to prevent.
+// Tests of the Balancer's decisions, one small scenario each: subsets, choice of a server, outlier ejection,
+// slow start, load shedding, retries, load reports, discovery, invalid input and zones.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -13,7 +14,7 @@
 
 // ---- slots and subset ----
 
-TEST(Subset, SizeIsBoundedAndPrefixOfTheOrder) {
+TEST(Subset, SizeIsBoundedAndMembersAreAPrefixOfTheOrder) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(100));
   const auto subset = d.balancer.subset(d.now);
@@ -32,21 +33,21 @@
   EXPECT_EQ(a.balancer.subset(a.now), b.balancer.subset(b.now));
 }
 
-TEST(Subset, OneLeavingChangesOneMember) {
+TEST(Subset, RemovingAMemberReplacesOnlyThatMember) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(60));
   const auto before = d.balancer.subset(d.now);
-  Host gone = makeHost(std::stoi(before[3].substr(7)), HostState::Gone);
-  d.servers(ListKind::Changes, {gone});
+  Host removed = makeHost(std::stoi(before[3].substr(7)), HostState::Gone);
+  d.servers(ListKind::Changes, {removed});
   const auto after = d.balancer.subset(d.now);
   ASSERT_EQ(after.size(), before.size());
   const std::set<std::string> was(before.begin(), before.end());
-  int fresh = 0;
-  for (const std::string& id : after) fresh += was.contains(id) ? 0 : 1;
-  EXPECT_EQ(fresh, 1);
+  int added = 0;
+  for (const std::string& id : after) added += was.contains(id) ? 0 : 1;
+  EXPECT_EQ(added, 1);
 }
 
-TEST(Subset, ANewcomerTakesTheFreeSlotOfTheOneThatLeft) {
+TEST(Subset, NewServerTakesTheSlotOfTheRemovedOne) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(60));
   auto expected = d.balancer.subset(d.now);
@@ -57,7 +58,7 @@
   EXPECT_EQ(d.balancer.subset(d.now), expected);
 }
 
-TEST(Subset, ADrainingServerIsPassedOverAndTheNextStandsIn) {
+TEST(Subset, DrainingServerIsSkippedAndTheNextOneSubstitutesIt) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(60));
   const auto before = d.balancer.subset(d.now);
@@ -67,8 +68,8 @@
   for (std::size_t i = 1; i < before.size(); ++i) EXPECT_EQ(after[i - 1], before[i]);
 }
 
-// A client whose own demand outgrows its subset lengthens it; what it had stays.
-TEST(Subset, OwnDemandLengthensThePrefixAndCalmShortensIt) {
+// A client extends its subset when its own demand exceeds it. The members that it had stay.
+TEST(Subset, GrowsWithOwnDemandAndShrinksAfterwards) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(100));
   const auto before = d.balancer.subset(d.now);
@@ -88,9 +89,8 @@
   EXPECT_EQ(d.balancer.subset(d.now), before);
 }
 
-// With fewer servers than the subset's ordinary length there is nothing to lengthen, however great the
-// demand.
-TEST(Subset, AShortListIsNotLengthenedOnEveryArrival) {
+// With fewer servers than the subset's ordinary length there is nothing to extend, whatever the demand.
+TEST(Subset, ListShorterThanTheSubsetIsNeverExtended) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(6));
   for (RequestId id = 1; id <= 60; ++id) {
@@ -103,7 +103,7 @@
 
 // ---- pick ----
 
-TEST(Pick, FewestInFlightThenByTurn) {
+TEST(Pick, FewestInFlightThenRoundRobin) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(4));
   std::map<std::string, int> sent;
@@ -115,7 +115,7 @@
   for (const auto& [server, n] : sent) EXPECT_EQ(n, 2) << server;
 }
 
-// An attempt leaves the count once, at its one outcome, also when its request has long ended.
+// An attempt counts as in flight until its one outcome, even if its request ended before.
 TEST(Pick, AbandonedAttemptsCountUntilTheirOutcome) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(2));
@@ -129,52 +129,52 @@
     d.outcome(id, 0, Result::Ok, kMs);
   }
   d.outcome(1, 0, Result::Cancelled);
-  d.outcome(1, 0, Result::Cancelled);  // said twice: changes nothing
+  d.outcome(1, 0, Result::Cancelled);  // a second outcome is ignored
   EXPECT_EQ(d.balancer.liveRequests(), 0U);
 }
 
 // ---- rule 1 ----
 
-TEST(Answers, NoServerEndsInARefusalInTime) {
+TEST(Answers, WithoutServersTheRequestIsRejectedInTime) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, {});
   d.request(1, 4, 400 * kMs);
   for (int i = 0; i < 100 && !d.checker.requests.at(1).ended; ++i) {
-    Time when = 0;
+    Time due_at = 0;
     std::uint64_t handle = 0;
     for (const Action& a : d.actions) {
-      if (a.kind == ActionKind::SetTimer) when = a.time, handle = a.timer;
+      if (a.kind == ActionKind::SetTimer) due_at = a.time, handle = a.timer;
     }
-    ASSERT_GT(when, 0) << "a held request without a timer";
-    d.now = when;
+    ASSERT_GT(due_at, 0) << "a queued request has no timer";
+    d.now = due_at;
     d.timer(handle);
   }
   EXPECT_TRUE(d.checker.requests.at(1).ended);
   EXPECT_EQ(d.checker.violations, std::vector<std::string>{});
 }
 
-TEST(Answers, LessTimeThanATickIsRefusedAtOnce) {
+TEST(Answers, LessTimeThanATickIsRejectedAtOnce) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(4));
   d.request(1, 4, kMs);
   EXPECT_EQ(d.count(ActionKind::Reject), 1);
 }
 
-TEST(Answers, AHeldRequestGoesToAServerThatAppears) {
+TEST(Answers, QueuedRequestGoesToAServerThatAppears) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, {});
   d.request(1, 4);
   const std::uint64_t handle = d.actions.at(0).timer;
-  const Time when = d.actions.at(0).time;
+  const Time due_at = d.actions.at(0).time;
   d.servers(ListKind::Changes, makeHosts(1));
-  d.now = when;
+  d.now = due_at;
   d.timer(handle);
   EXPECT_EQ(d.sentTo(), makeHost(0).id);
 }
 
 // ---- health ----
 
-TEST(Health, AFailedConnectionEjectsAndAProbeReadmits) {
+TEST(Health, FailedConnectionEjectsAndAProbeReadmits) {
   Settings settings = makeSettings();
   settings.may_health_check = true;
   Driver d(settings);
@@ -206,8 +206,8 @@
   EXPECT_TRUE(back);
 }
 
-// Without probes only a request that may be repeated is risked on a server that failed.
-TEST(Health, WithoutProbesATrialIsARepeatableRequest) {
+// Without health checks an ejected server is tried with requests, and only with those that may be retried.
+TEST(Health, WithoutProbesOnlyARetryableRequestIsSentOnTrial) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(8));
   d.request(1, 4);
@@ -231,8 +231,8 @@
   EXPECT_TRUE(tried);
 }
 
-// One time-out at a sound server must not eject it: long requests happen.
-TEST(Health, OneTimeOutDoesNotEjectTwoInARowDo) {
+// A single timeout must not eject a server, since some requests take long.
+TEST(Health, TwoTimeoutsInARowEjectButOneDoesNot) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(3));
   std::map<std::string, int> timeouts;
@@ -253,7 +253,7 @@
   }
 }
 
-TEST(Health, ACapKeepsMostOfTheSubset) {
+TEST(Health, EjectionsAreCappedSoThatHalfOfTheSubsetStays) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(10));
   RequestId id = 1;
@@ -268,7 +268,7 @@
   EXPECT_GE(d.balancer.subset(d.now).size(), 5U);
 }
 
-TEST(Health, TheOnlyServerIsNeverEjected) {
+TEST(Health, OnlyServerIsNeverEjected) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(1));
   for (RequestId id = 1; id <= 5; ++id) {
@@ -278,71 +278,71 @@
   }
 }
 
-// ---- cold start ----
+// ---- slow start ----
 
-// Least in flight would send everything to the new, empty server.
-TEST(ColdStart, OneClientStaysWithinItsShare) {
+// A new server has no requests in flight, so choosing the least loaded server alone would send it everything.
+TEST(ColdStart, OneClientKeepsItsShareOfAServerInSlowStart) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(9));
   RequestId id = 1;
-  const auto play = [&](int requests) {
-    int cold = 0;
+  const auto sendRequests = [&](int requests) {
+    int sent_to_new = 0;
     for (int i = 0; i < requests; ++i, ++id) {
       d.now += 10 * kMs;
       d.request(id, 4);
-      cold += d.sentTo() == makeHost(9).id ? 1 : 0;
+      sent_to_new += d.sentTo() == makeHost(9).id ? 1 : 0;
       if (!d.checker.requests.at(id).ended) d.outcome(id, 0, Result::Ok, 5 * kMs);
     }
-    return cold;
+    return sent_to_new;
   };
-  play(500);
-  Host fresh = makeHost(9);
-  fresh.started_at = d.now;
-  d.servers(ListKind::Changes, {fresh});
-  const int first = play(200);     // two seconds at a hundred a second: a tenth of it would be 20
-  EXPECT_LE(first, 20 * 0.4 + 1);  // capacity is 0.25 to 0.4 of the full in this time
-  EXPECT_GE(first, 2);             // but it gets some, and warms
-  play(800);
-  EXPECT_NEAR(play(200), 20, 6);  // warm: its full part
-}
-
-// All clients acting alike, without talk: the sum stays within the budget of the rule.
-TEST(ColdStart, TheSumOverManyQuietClientsStaysWithinTheBudget) {
+  sendRequests(500);
+  Host added = makeHost(9);
+  added.started_at = d.now;
+  d.servers(ListKind::Changes, {added});
+  const int first = sendRequests(200);  // 2 s at 100 requests/s; one of ten warm servers would get 20
+  EXPECT_LE(first, 20 * 0.4 + 1);       // its capacity grows from 0.25 to 0.4 of the full in this time
+  EXPECT_GE(first, 2);                  // it gets some requests, or it would not warm up
+  sendRequests(800);
+  EXPECT_NEAR(sendRequests(200), 20, 6);  // warm: its full share
+}
+
+// Clients don't communicate, so each must keep its share for the sum to stay within the bound of rule 4.
+TEST(ColdStart, SumOverManyClientsStaysWithinTheOverloadBound) {
   Settings settings = makeSettings();
-  int cold = 0;
+  int sent_to_new = 0;
   for (std::uint32_t m = 0; m < 40; ++m) {
     settings.client = m;
     Driver d(settings, m + 1);
     d.servers(ListKind::Restored, makeHosts(30));
     RequestId id = 1;
-    const auto play = [&](int requests) {
+    const auto sendRequests = [&](int requests) {
       int hits = 0;
       for (int i = 0; i < requests; ++i, ++id) {
-        d.now += 250 * kMs;  // four a second
+        d.now += 250 * kMs;  // 4 requests/s
         d.request(id, 4);
         hits += d.sentTo() == makeHost(30).id ? 1 : 0;
         if (!d.checker.requests.at(id).ended) d.outcome(id, 0, Result::Ok, 5 * kMs);
       }
       return hits;
     };
-    play(80);
-    Host fresh = makeHost(30);
-    fresh.started_at = d.now;
-    d.servers(ListKind::Changes, {fresh});
-    cold += play(8);  // the two seconds of the rule's window
+    sendRequests(80);
+    Host added = makeHost(30);
+    added.started_at = d.now;
+    d.servers(ListKind::Changes, {added});
+    sent_to_new += sendRequests(8);  // 2 s, which is the overload window
   }
-  // 40 clients at 4 a second over 31 servers: 5.2 a second each. Budget: 3 x 0.25 x 5.2 x 2 s = 7.7 if that
-  // is the server's whole capacity, which it is not: fleets run with room to spare.
-  EXPECT_LE(cold, 8);
+  // 40 clients at 4 requests/s over 31 servers make 5.2 requests/s each. If that were a server's full
+  // capacity, the bound would be 3 x 0.25 x 5.2 x 2 s = 7.7 requests; servers have more capacity than that.
+  EXPECT_LE(sent_to_new, 8);
 }
 
-// ---- admission ----
+// ---- load shedding ----
 
-TEST(Admission, LateAnswersBringRefusalsAndPromptOnesEndThem) {
+TEST(Admission, LateResponsesStartSheddingAndPromptOnesEndIt) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(10));
   RequestId id = 1;
-  const auto refused = [&](Time latency, int requests) {
+  const auto rejected = [&](Time latency, int requests) {
     int n = 0;
     for (int i = 0; i < requests; ++i, ++id) {
       d.request(id, 4);
@@ -352,35 +352,35 @@
     }
     return n;
   };
-  EXPECT_EQ(refused(50 * kMs, 100), 0);
-  EXPECT_GT(refused(490 * kMs, 100), 20);
-  refused(50 * kMs, 200);
-  EXPECT_EQ(refused(50 * kMs, 100), 0);
+  EXPECT_EQ(rejected(50 * kMs, 100), 0);
+  EXPECT_GT(rejected(490 * kMs, 100), 20);
+  rejected(50 * kMs, 200);
+  EXPECT_EQ(rejected(50 * kMs, 100), 0);
 }
 
-TEST(Admission, TheTenantBeyondItsShareGoesFirst) {
+TEST(Admission, TenantBeyondItsQuotaIsShedFirst) {
   Settings settings = makeSettings();
   settings.tenants = {{0.5}, {0.5}};
   settings.over_quota_weight = 0.1;
   Driver d(settings);
   d.servers(ListKind::Restored, makeHosts(10));
-  std::map<int, int> refused, asked;
+  std::map<int, int> rejected, sent_by_tenant;
   for (RequestId id = 1; id <= 600; ++id) {
-    const int tenant = id % 5 == 0 ? 1 : 0;  // tenant 0 asks four times as much
+    const int tenant = id % 5 == 0 ? 1 : 0;  // tenant 0 sends four times as many
     d.request(id, 4, 2 * kSec, tenant);
-    ++asked[tenant];
-    refused[tenant] += d.count(ActionKind::Reject);
-    const Time latency = id <= 10 ? 490 * kMs : 260 * kMs;  // overload comes and stays as it is
+    ++sent_by_tenant[tenant];
+    rejected[tenant] += d.count(ActionKind::Reject);
+    const Time latency = id <= 10 ? 490 * kMs : 260 * kMs;  // an overload that persists
     d.now += latency;
     if (!d.checker.requests.at(id).ended) d.outcome(id, 0, Result::Ok, latency);
   }
-  ASSERT_GT(refused[0], 20);
-  EXPECT_LT(refused[1] * asked[0], refused[0] * asked[1] / 2);
+  ASSERT_GT(rejected[0], 20);
+  EXPECT_LT(rejected[1] * sent_by_tenant[0], rejected[0] * sent_by_tenant[1] / 2);
 }
 
 // ---- attempts ----
 
-TEST(Attempts, RepeatsHaveABudget) {
+TEST(Attempts, RetriesAreLimitedToAFractionOfRequests) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(30));
   for (RequestId id = 1; id <= 400; ++id) {
@@ -394,7 +394,7 @@
   EXPECT_LE(d.checker.sends, 400U * 1.2 + 10);
 }
 
-TEST(Attempts, AClientThatLeavesHasItsAttemptCancelled) {
+TEST(Attempts, DisconnectOfTheClientCancelsItsAttempt) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(8));
   d.request(1, 0);
@@ -404,9 +404,9 @@
   EXPECT_EQ(d.actions.at(0).attempt, 1);
 }
 
-// ---- asking for load ----
+// ---- health checks for load reports before a choice ----
 
-Settings askingSettings() {
+Settings loadReportSettings() {
   Settings s = makeSettings();
   s.reports = ReportSource::HealthChecks;
   s.may_health_check = true;
@@ -415,24 +415,24 @@
   return s;
 }
 
-TEST(Asking, TheMemberThatHoldsLeastGetsTheRequest) {
-  Driver d(askingSettings());
+TEST(Asking, MemberWithTheLeastReportedLoadGetsTheRequest) {
+  Driver d(loadReportSettings());
   d.servers(ListKind::Restored, makeHosts(12));
   d.request(1, 0);
   EXPECT_EQ(d.count(ActionKind::Send), 0);
-  const auto asked = d.probed();
-  ASSERT_EQ(asked.size(), 3U);
-  d.probe(asked[0], true, 9);
-  d.probe(asked[1], true, 2);
+  const auto probed = d.probed();
+  ASSERT_EQ(probed.size(), 3U);
+  d.probe(probed[0], true, 9);
+  d.probe(probed[1], true, 2);
   EXPECT_EQ(d.count(ActionKind::Send), 0);
-  d.probe(asked[2], true, 7);
-  EXPECT_EQ(d.sentTo(), asked[1]);
+  d.probe(probed[2], true, 7);
+  EXPECT_EQ(d.sentTo(), probed[1]);
   EXPECT_EQ(d.reason(), Reason::LeastReportedLoad);
 }
 
-// Nobody answers the questions: the request must not wait for them longer than a part of its aim.
-TEST(Asking, SilenceEndsInAnOrdinaryPick) {
-  Driver d(askingSettings());
+// If no health check is answered, the request must wait no longer than a fraction of its latency objective.
+TEST(Asking, WithoutAnswersTheLeastLoadedByOwnCountIsChosenInTime) {
+  Driver d(loadReportSettings());
   d.servers(ListKind::Restored, makeHosts(12));
   d.request(1, 0);
   ASSERT_EQ(d.count(ActionKind::SetTimer), 1);
@@ -444,25 +444,26 @@
   EXPECT_EQ(d.reason(), Reason::LeastLoaded);
 }
 
-// A server that leaves the list while it is being asked must not be sent to, nor remembered by the request.
-TEST(Asking, AnAskedServerThatLeavesIsForgotten) {
-  Driver d(askingSettings());
+// A server that leaves the list during its health check must not be chosen, nor may the request refer to it.
+TEST(Asking, ServerRemovedDuringItsHealthCheckIsNotChosen) {
+  Driver d(loadReportSettings());
   d.servers(ListKind::Restored, makeHosts(12));
   d.request(1, 0);
-  const auto asked = d.probed();
-  ASSERT_EQ(asked.size(), 3U);
-  d.probe(asked[0], true, 5);
+  const auto probed = d.probed();
+  ASSERT_EQ(probed.size(), 3U);
+  d.probe(probed[0], true, 5);
   std::vector<Host> left = makeHosts(12);
-  std::erase_if(left, [&](const Host& h) { return h.id == asked[0]; });
+  std::erase_if(left, [&](const Host& h) { return h.id == probed[0]; });
   d.servers(ListKind::Full, left);
-  d.probe(asked[1], true, 8);
-  d.probe(asked[2], true, 6);
-  EXPECT_TRUE(d.sentTo() == asked[1] || d.sentTo() == asked[2]);
+  d.probe(probed[1], true, 8);
+  d.probe(probed[2], true, 6);
+  EXPECT_TRUE(d.sentTo() == probed[1] || d.sentTo() == probed[2]);
 }
 
-// Late reports lead all clients to the same servers: after two late answers they decide nothing for a while.
-TEST(Asking, LateReportsAreDistrusted) {
-  Driver d(askingSettings());
+// Outdated load reports send all clients to the same servers, so after two late responses the reports are not
+// used for a while.
+TEST(Asking, ReportsAreIgnoredAfterTwoLateResponses) {
+  Driver d(loadReportSettings());
   d.servers(ListKind::Restored, makeHosts(12));
   for (RequestId id = 1; id <= 2; ++id) {
     d.request(id, 0);
@@ -478,8 +479,8 @@
   EXPECT_FALSE(d.probed().empty());
 }
 
-TEST(Asking, OnlyWhereReportsComeByProbe) {
-  Settings s = askingSettings();
+TEST(Asking, NoHealthChecksWhenReportsComeWithResponses) {
+  Settings s = loadReportSettings();
   s.reports = ReportSource::Responses;
   Driver d(s);
   d.servers(ListKind::Restored, makeHosts(12));
@@ -488,9 +489,9 @@
   EXPECT_EQ(d.count(ActionKind::Send), 1);
 }
 
-// ---- reasons and trace lines ----
+// ---- reasons and log lines ----
 
-TEST(Reasons, AreOffByDefaultAndNameThePick) {
+TEST(Reasons, AreOffByDefaultAndReportTheKindOfChoice) {
   Driver quiet(makeSettings());
   quiet.servers(ListKind::Restored, makeHosts(4));
   quiet.request(1, 0);
@@ -502,7 +503,7 @@
   d.servers(ListKind::Restored, makeHosts(60));
   d.request(1, 0);
   EXPECT_EQ(d.reason(), Reason::LeastLoaded);
-  d.outcome(1, 0, Result::ConnectFailed);  // ejected; the next in order stands in
+  d.outcome(1, 0, Result::ConnectFailed);  // ejected; the next in order substitutes it
   std::set<Reason> seen;
   for (RequestId id = 2; id <= 17; ++id) {
     d.request(id, 0);
@@ -518,7 +519,7 @@
   EXPECT_TRUE(seen.contains(Reason::ExtendedSubset));
 }
 
-TEST(Reasons, TrialColdShareAndGroupBoundRepeat) {
+TEST(Reasons, CoverEjectionTrialScopedRetryAndSlowStart) {
   Settings s = makeSettings();
   s.explain = true;
   Driver d(s);
@@ -539,21 +540,21 @@
   keyed.outcome(1, 0, Result::Error, kMs);
   EXPECT_EQ(keyed.reason(), Reason::ScopedRetry);
 
-  Driver cold(s);
+  Driver starting(s);
   std::vector<Host> hosts = makeHosts(1);
-  hosts[0].started_at = cold.now - kSec;
-  cold.servers(ListKind::Restored, hosts);
+  hosts[0].started_at = starting.now - kSec;
+  starting.servers(ListKind::Restored, hosts);
   Reason why = Reason::None;
   for (RequestId id = 1; id <= 200 && why == Reason::None; ++id) {
-    cold.request(id, 0);
-    why = cold.reason();
-    cold.now += 20 * kMs;
+    starting.request(id, 0);
+    why = starting.reason();
+    starting.now += 20 * kMs;
   }
   EXPECT_EQ(why, Reason::SlowStart);
   EXPECT_EQ(toString(why), "cold share");
 }
 
-TEST(Traces, SayWhatChangedOncePerKindAndSecond) {
+TEST(Traces, ReportEachKindOfChangeOncePerSecond) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(40));
   d.request(1, 0);
@@ -586,7 +587,7 @@
 
 // ---- discovery ----
 
-TEST(Discovery, AsksOnceWithJitterAndBacksOffAfterFailures) {
+TEST(Discovery, SubscribesOnceWithJitterAndBacksOffAfterFailures) {
   Settings settings = makeSettings();
   settings.discovery = Discovery::Poll;
   std::set<Time> first;
@@ -606,19 +607,20 @@
       d.servers(ListKind::Unavailable, {});
       ASSERT_EQ(d.count(ActionKind::SetTimer), 1);
     }
-    EXPECT_GT(gap, kSec);                    // backed off
-    EXPECT_LE(gap, settings.poll_interval);  // but never silent for as long as that
-    d.servers(ListKind::Changes, {});        // a subscription stands
+    EXPECT_GT(gap, kSec);                    // it backs off
+    EXPECT_LE(gap, settings.poll_interval);  // but not beyond the poll interval
+    d.servers(ListKind::Changes, {});        // the subscription succeeds
     EXPECT_EQ(d.count(ActionKind::Subscribe), 0);
   }
   EXPECT_GT(first.size(), 15U);
 }
 
-// A change counts as told 6 s after discovery had it and could be reached (net/discovery.h adds it up).
-TEST(Discovery, ABrokenWatchIsAskedForSoonAndNoFailureMakesTheNextCallWaitLong) {
+// Every client must have a change 6 s after discovery has it and is reachable; net/discovery.h adds up the
+// parts of this delay.
+TEST(Discovery, BrokenWatchIsRenewedSoonAndBackoffIsBounded) {
   Settings settings = makeSettings();
   settings.discovery = Discovery::Poll;
-  settings.poll_interval = 60 * kSec;  // whatever that allows
+  settings.poll_interval = 60 * kSec;  // longer than the bounds below
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Driver d(settings, seed);
     d.servers(ListKind::Restored, makeHosts(4));
@@ -639,22 +641,22 @@
         d.servers(ListKind::Unavailable, {});
         const Time wait = waits();
         EXPECT_LE(wait, 2 * kSec);
-        EXPECT_GE(wait, 500 * kMs) << "a crowd must not be there all the time";
+        EXPECT_GE(wait, 500 * kMs) << "many clients must not overload discovery with retries";
       }
     }
   }
 }
 
-TEST(Discovery, PushNeedsNoAsking) {
+TEST(Discovery, PushNeedsNoSubscription) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(4));
   EXPECT_TRUE(d.actions.empty());
 }
 
-// ---- bad input at the interface ----
+// ---- invalid input ----
 
-TEST(BadInput, ImpossibleSettingsNameTheField) {
-  const auto complaint = [](auto change) {
+TEST(BadInput, InvalidSettingsAreReportedByField) {
+  const auto errorOf = [](auto change) {
     Settings s = makeSettings();
     change(s);
     try {
@@ -664,13 +666,13 @@
     }
     return std::string("accepted");
   };
-  EXPECT_NE(complaint([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
-  EXPECT_NE(complaint([](Settings& s) { s.classes[1].latency_objective = -1; }).find("classes[1].aim"),
+  EXPECT_NE(errorOf([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
+  EXPECT_NE(errorOf([](Settings& s) { s.classes[1].latency_objective = -1; }).find("classes[1].aim"),
             std::string::npos);
-  EXPECT_NE(complaint([](Settings& s) { s.classes[2].deduplication_window = 0; }).find("classes[2].window"),
+  EXPECT_NE(errorOf([](Settings& s) { s.classes[2].deduplication_window = 0; }).find("classes[2].window"),
             std::string::npos);
-  EXPECT_NE(complaint([](Settings& s) { s.max_attempts = 0; }).find("max_attempts"), std::string::npos);
-  EXPECT_NE(complaint([](Settings& s) { s.slow_start_initial_capacity = 0; }).find("cold_from"),
+  EXPECT_NE(errorOf([](Settings& s) { s.max_attempts = 0; }).find("max_attempts"), std::string::npos);
+  EXPECT_NE(errorOf([](Settings& s) { s.slow_start_initial_capacity = 0; }).find("cold_from"),
             std::string::npos);
 }
 
@@ -681,7 +683,7 @@
   return o;
 }
 
-TEST(BadInput, EveryImpossibleFieldIsNamed) {
+TEST(BadInput, EachInvalidFieldIsReportedByName) {
   const auto names = [](const std::string& field, auto change) {
     Settings s = makeSettings();
     s.tenants = {{0.5}};
@@ -710,7 +712,7 @@
   EXPECT_TRUE(names("ask_within", [](Settings& s) { s.discovery = Discovery::Poll, s.poll_interval = 0; }));
 }
 
-TEST(BadInput, CallsOutOfOrderDoNoHarm) {
+TEST(BadInput, CallsOutOfOrderAreIgnored) {
   Driver d(makeSettings());
   d.request(1, 0);  // before any list
   EXPECT_EQ(d.count(ActionKind::Send), 0);
@@ -721,19 +723,19 @@
   Request again;
   again.id = 2;
   again.time_left = kSec;
-  d.balancer.onRequest(later - 3 * kSec, again, out);  // the same id twice, and time runs backwards
+  d.balancer.onRequest(later - 3 * kSec, again, out);  // an id that is in use, and a time in the past
   EXPECT_TRUE(out.empty());
   d.outcome(2, 0, Result::Ok, kMs);
   Outcome second;
   second.request = 2;
   second.final = true;
-  d.balancer.onOutcome(later, second, out);  // a second final
+  d.balancer.onOutcome(later, second, out);  // a second final outcome
   d.balancer.onResponseStarted(later, 2, 0, out);
   d.balancer.onClientGone(later, 2, out);
   EXPECT_TRUE(out.empty());
 }
 
-TEST(BadInput, UnknownAndLateIdsChangeNothing) {
+TEST(BadInput, UnknownIdsAreIgnored) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(4));
   Actions out;
@@ -741,15 +743,15 @@
   d.balancer.onTimer(d.now, 0xFFFF'FFFF'FFFFULL, out);
   d.balancer.onTimer(d.now, 5, out);
   d.balancer.onClientGone(d.now, 99, out);
-  d.balancer.onHealthCheck(d.now, "nobody", true, 1, {}, out);
+  d.balancer.onHealthCheck(d.now, "server-999", true, 1, {}, out);
   d.balancer.onResponseStarted(d.now, 99, 0, out);
   d.balancer.onOutcome(d.now - kSec, outcomeOf(-1), out);
   EXPECT_TRUE(out.empty());
 }
 
-// ---- whose fault it is ----
+// ---- which failures count against a server ----
 
-TEST(Fault, OneSpoiltAnswerOrBadRequestEjectsNobodyButARunOfSpoiltOnesDoes) {
+TEST(Fault, InvalidResponsesEjectOnlyInARowAndBadRequestsNever) {
   Settings settings = makeSettings();
   Driver d(settings);
   d.servers(ListKind::Restored, makeHosts(4));
@@ -769,11 +771,11 @@
   EXPECT_TRUE(ejected);
 }
 
-TEST(Fault, BrokenConnectionsOfASoundServerNeitherEjectItNorMakeItCold) {
+TEST(Fault, OccasionalBrokenConnectionsDoNotEject) {
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(4));
   bool ejected = false;
-  for (RequestId id = 1; id < 200; ++id) {  // one of ten breaks
+  for (RequestId id = 1; id < 200; ++id) {  // one in ten connections breaks
     d.request(id, 0);
     d.now += 5 * kMs;
     d.outcome(id, 0,
@@ -787,7 +789,7 @@
   EXPECT_FALSE(ejected);
 }
 
-TEST(Fault, AnAnswerToWhatItHadBeforeShowsThatAnEjectedServerHasNotRestarted) {
+TEST(Fault, ResponseToAnEarlierRequestShowsThatAnEjectedServerHasNotRestarted) {
   Settings settings = makeSettings();
   settings.explain = true;
   Driver d(settings);
@@ -797,7 +799,7 @@
   const std::string first = d.sentTo();
   d.request(2, 4);
   d.request(3, 4);
-  ASSERT_EQ(d.sentTo(), first);  // two each, or so: the third is with the first again
+  ASSERT_EQ(d.sentTo(), first);  // with two servers the third request goes to the first one again
   d.now += 10 * kMs;
   d.outcome(3, 0, Result::ConnectFailed);
   ASSERT_TRUE(d.logged("ejected"));
@@ -812,18 +814,18 @@
   }
 }
 
-// ---- clients that will not wait ----
+// ---- clients that give up early ----
 
 class Patience : public ::testing::Test {
  protected:
   Patience() { d.servers(ListKind::Restored, makeHosts(12)); }
-  // One try of a client that waits so long (the aim is 500 ms), at a host that would take so long. Was it
-  // sent?
-  bool tried(Time patience, Time takes, std::int32_t cls = 0) {
+  // One request of a client that waits for `patience` (the latency objective is 500 ms), at a host that takes
+  // `takes` to respond. True if it was sent.
+  bool sentRequest(Time patience, Time takes, std::int32_t cls = 0) {
     d.now += 10 * kMs;
     d.request(++last, cls, patience);
     const bool sent = d.count(ActionKind::Send) == 1;
-    EXPECT_EQ(d.count(ActionKind::Reject), sent ? 0 : 1) << "refused at once, or sent";
+    EXPECT_EQ(d.count(ActionKind::Reject), sent ? 0 : 1) << "either sent or rejected at once";
     if (!sent) return false;
     d.now += std::min(patience, takes);
     d.outcome(last, 0, takes <= patience ? Result::Ok : Result::TimedOut, std::min(patience, takes));
@@ -833,38 +835,41 @@
   RequestId last = 0;
 };
 
-// Clients that give up early and come again at once would keep the whole fleet busy with what nobody takes.
-TEST_F(Patience, WhatClientsGiveUpIsBoundedLikeRepeatsAndOthersGoOn) {
+// Clients that give up early and retry at once would keep all hosts busy with responses that no client
+// receives.
+TEST_F(Patience, RequestsGivenUpAreBoundedAndPatientClientsAreNotAffected) {
   int sent = 0, others = 0;
   for (int n = 0; n < 400; ++n) {
-    sent += tried(150 * kMs, 200 * kMs) ? 1 : 0;
-    if (n % 4 == 0) others += tried(500 * kMs, 100 * kMs, 4) ? 1 : 0;  // until the aim: patient
+    sent += sentRequest(150 * kMs, 200 * kMs) ? 1 : 0;
+    if (n % 4 == 0)
+      others += sentRequest(500 * kMs, 100 * kMs, 4) ? 1 : 0;  // waits until the latency objective
   }
   EXPECT_EQ(others, 100);
   EXPECT_LE(sent, 0.15 * 500 + 10);
-  EXPECT_GE(sent, 50) << "some go on to tell when it is over";
-  // It is: whoever is answered in time costs nothing.
+  EXPECT_GE(sent, 50) << "some must be sent, to detect when responses are in time again";
+  // Responses are in time again: requests that are answered in time don't count.
   int again = 0;
-  for (int n = 0; n < 100; ++n) again += tried(150 * kMs, 50 * kMs) ? 1 : 0;
+  for (int n = 0; n < 100; ++n) again += sentRequest(150 * kMs, 50 * kMs) ? 1 : 0;
   EXPECT_GE(again, 90);
 }
 
-TEST_F(Patience, ThoseThatAreAnsweredInTimeAreNeverRefused) {
-  for (int n = 0; n < 300; ++n) ASSERT_TRUE(tried(150 * kMs, n % 10 == 0 ? 200 * kMs : 100 * kMs));
+TEST_F(Patience, RequestsAnsweredInTimeAreNeverRejected) {
+  for (int n = 0; n < 300; ++n) ASSERT_TRUE(sentRequest(150 * kMs, n % 10 == 0 ? 200 * kMs : 100 * kMs));
 }
 
 // ---- zones ----
 
 class ZoneLost : public ::testing::Test {
  protected:
-  ZoneLost() : d(probing()) { d.servers(ListKind::Restored, makeHosts(12)); }  // four in each of three zones
+  ZoneLost() : d(probing()) { d.servers(ListKind::Restored, makeHosts(12)); }  // 4 in each of 3 zones
   static Settings probing() {
     Settings s = makeSettings();
     s.may_health_check = true;
     return s;
   }
   static int zoneOf(const std::string& id) { return std::stoi(id.substr(7)) % 3; }
-  // One unsafe request; a host of a silent zone says nothing, nor to a probe. Was it answered?
+  // One non-idempotent request, and another one while it is in flight. Hosts in the zones of `silent` answer
+  // no request and those of `silent_to_probes` no probe. True if the first request is answered.
   bool answered(const std::set<int>& silent) { return answered(silent, silent); }
   bool answered(const std::set<int>& silent, const std::set<int>& silent_to_probes) {
     d.now += 100 * kMs;
@@ -873,7 +878,7 @@
     if (to.empty()) return false;
     const bool ok = silent.count(zoneOf(to)) == 0;
     d.now += ok ? 50 * kMs : 500 * kMs;
-    // Somebody elsewhere answers meanwhile.
+    // Meanwhile another host may answer.
     d.request(++last, 4);
     const std::string other = d.sentTo();
     const bool other_ok = !other.empty() && silent.count(zoneOf(other)) == 0;
@@ -896,20 +901,20 @@
   RequestId last = 0;
 };
 
-TEST_F(ZoneLost, TwoSilentServersOfAZoneStandForAllOfIt) {
+TEST_F(ZoneLost, TwoSilentServersEjectTheirZone) {
   for (int n = 0; n < 30; ++n) ASSERT_TRUE(answered({}));
   int lost = 0;
   while (zonesInUse().count(1) != 0 && lost < 10) lost += answered({1}) ? 0 : 1;
   EXPECT_LE(lost, 3);
   EXPECT_EQ(zonesInUse(), (std::set<int>{0, 2}));
-  // One of them is asked whether it is back, not each.
+  // Only one host of the zone is probed, not each of them.
   d.now += 2 * kSec;
   d.request(++last, 4);
   ASSERT_EQ(d.probed().size(), 1U);
-  const std::string asked = d.probed()[0];
-  EXPECT_EQ(zoneOf(asked), 1);
+  const std::string probed = d.probed()[0];
+  EXPECT_EQ(zoneOf(probed), 1);
   d.outcome(last, 0, Result::Ok, 20 * kMs);
-  d.probe(asked, false);
+  d.probe(probed, false);
   EXPECT_EQ(zonesInUse().count(1), 0U);
   d.now += 10 * kSec;
   d.request(++last, 4);
@@ -921,8 +926,9 @@
   EXPECT_EQ(d.balancer.subset(d.now).size(), 12U);
 }
 
-// Where all is crowded two answers in a row are late: that is load, and no other zone can take it.
-TEST_F(ZoneLost, AZoneThatAnswersProbesIsLateNotLost) {
+// When all zones are overloaded, two responses in a row may be late. The zone must not be ejected then, since
+// no other zone can take its load.
+TEST_F(ZoneLost, ZoneThatAnswersProbesIsNotEjected) {
   for (int n = 0; n < 30; ++n) ASSERT_TRUE(answered({}));
   int late = 0;
   for (int n = 0; n < 30; ++n) {
@@ -933,9 +939,9 @@
   EXPECT_GT(late, 0);
 }
 
-// A proxy that is cut off with its own zone has three quarters of the servers beyond the cut: no bound on how
-// many may be out keeps it at them.
-TEST_F(ZoneLost, WhoIsCutOffFromAllOtherZonesUsesItsOwn) {
+// In a network partition a proxy may only reach the servers of its own zone, a minority of all. The bound on
+// the fraction of ejected servers must not make it keep servers that it can't reach.
+TEST_F(ZoneLost, ClientCutOffFromAllOtherZonesUsesItsOwn) {
   for (int n = 0; n < 30; ++n) ASSERT_TRUE(answered({}));
   int lost = 0;
   while (zonesInUse().size() > 1 && lost < 20) lost += answered({1, 2}) ? 0 : 1;
@@ -944,14 +950,14 @@
   for (int n = 0; n < 5; ++n) EXPECT_TRUE(answered({1, 2}));
 }
 
-TEST_F(ZoneLost, SilenceOfAllIsNoZonesFault) {
+TEST_F(ZoneLost, SilenceOfAllZonesEjectsNoZone) {
   for (int n = 0; n < 30; ++n) ASSERT_TRUE(answered({}));
   for (int n = 0; n < 10; ++n) answered({0, 1, 2});
   EXPECT_FALSE(zonesInUse().empty());
-  EXPECT_GE(d.balancer.subset(d.now).size(), 6U) << "no more than single servers' evidence puts out";
+  EXPECT_GE(d.balancer.subset(d.now).size(), 6U) << "only individual servers may be ejected";
 }
 
-TEST_F(ZoneLost, AZoneThatAnswersHasSilentServersNotSilence) {
+TEST_F(ZoneLost, SilentServersInAZoneThatAnswersEjectNoZone) {
   for (int n = 0; n < 200; ++n) {
     d.now += 100 * kMs;
     d.request(++last, 4);
@@ -965,8 +971,9 @@
   EXPECT_EQ(zonesInUse().count(1), 1U);
 }
 
-// Probes say that its process runs; requests say that it does not serve.
-TEST_F(ZoneLost, OneThatAnswersOnlyProbesIsOutAgainAfterOneRequest) {
+// A server that answers probes but no requests: its process runs, but it does not serve. After a probe has
+// readmitted it, a single failed request must eject it again.
+TEST_F(ZoneLost, ServerThatAnswersOnlyProbesIsEjectedAgainAfterOneRequest) {
   const auto failsAt = [&](const std::string& id) {
     for (int n = 0; n < 400; ++n) {
       d.now += 20 * kMs;
@@ -984,13 +991,13 @@
   const std::string bad = "server-000";
   int before = 0;
   for (; before < 5 && !d.logged("ejected"); ++before) ASSERT_TRUE(failsAt(bad));
-  EXPECT_EQ(before, 2) << "two in a row, the first time";
+  EXPECT_EQ(before, 2) << "the first ejection takes two failures in a row";
   d.now += 2 * kSec;
   d.request(++last, 4);
   ASSERT_EQ(d.probed(), std::vector<std::string>{bad});
   d.outcome(last, 0, Result::Ok, 5 * kMs);
   d.probe(bad, true);
-  d.now += 10 * kSec;  // warm, and what it did is half forgotten
+  d.now += 10 * kSec;  // it is warm, and its failure score has decayed by half
   ASSERT_TRUE(failsAt(bad));
   EXPECT_TRUE(d.logged("ejected"));
 }
