--- a/src/change_preview/change_preview.cpp
+++ b/src/change_preview/change_preview.cpp
@@ -13,9 +13,9 @@
   for (const auto& [name, value] : source) target[name] += value;
 }
 
-std::string percent(double part) {
+std::string percent(double fraction) {
   std::string text(16, '\0');
-  text.resize(static_cast<std::size_t>(std::snprintf(text.data(), text.size(), "%.1f %%", 100 * part)));
+  text.resize(static_cast<std::size_t>(std::snprintf(text.data(), text.size(), "%.1f %%", 100 * fraction)));
   return text;
 }
 
@@ -79,7 +79,7 @@
   // effective sample size accounts for the unequal weights.
   const double effective_size = t.squares > 0 ? t.all * t.all / t.squares : 0;
   v.error = effective_size > 0 ? 1.96 * 0.5 / std::sqrt(effective_size) : 1;
-  const auto part = [&](double n) { return t.all > 0 ? n / t.all : 0; };
+  const auto fraction = [&](double n) { return t.all > 0 ? n / t.all : 0; };
   const auto add_cause = [&](Risk risk, const std::string& cause) {
     v.risk = std::max(v.risk, risk);
     const auto at = risk == Risk::Unsafe ? v.causes.begin() : v.causes.end();
@@ -87,12 +87,12 @@
   };
   if (t.keys_split > 0)
     add_cause(Risk::Unsafe,
-              percent(part(t.keys_split)) +
+              percent(fraction(t.keys_split)) +
                   " of the requests must not run twice and would move to another site without a "
                   "transfer of ownership");
   if (t.left_alone > 0)
     add_cause(Risk::Unsafe,
-              percent(part(t.left_alone)) +
+              percent(fraction(t.left_alone)) +
                   " of the requests must not run twice and would no longer belong to a service");
   for (const auto& [zone, work] : t.work) {
     const auto capacity = zone_capacity.find(zone);
--- a/src/change_preview/include/change_preview/change_preview.h
+++ b/src/change_preview/include/change_preview/change_preview.h
@@ -71,16 +71,19 @@
   double max_error = 0.02;     // the greatest sampling error of a fraction of requests, at 95 % confidence
 };
 
+// The assessed risk of a change, with its causes.
 struct Assessment {
   Risk risk = Risk::Safe;
   std::vector<std::string> causes;  // the unsafe ones first
   double coverage = 0, error = 0;   // as limited by Rules
   PreviewInputs inputs;
+  // False if the inputs have changed, so that the assessment is void.
   bool holds(const PreviewInputs& now) const { return inputs == now; }
 };
 
-// `zone_capacity`: the capacity of each zone in seconds of host time per second. `live_members`: the number
-// of live members. `differing`: how many of them have a different pending file.
+// Assesses the totals of all members that have reported. `zone_capacity`: the capacity of each zone in
+// seconds of host time per second. `live_members`: the number of live members. `differing`: how many of them
+// have a different pending file.
 Assessment assess(const PreviewTotals& totals, const std::map<std::string, double>& zone_capacity,
                   std::size_t live_members, std::size_t differing, const PreviewInputs& inputs,
                   const Rules& rules = {});
--- a/src/traffic_sample/include/traffic_sample/traffic_sample.h
+++ b/src/traffic_sample/include/traffic_sample/traffic_sample.h
@@ -24,7 +24,7 @@
   static constexpr std::uint16_t kOther = 0;      // the number of every name that no longer fits
   static constexpr std::size_t kMaxNames = 4096;  // names, kOther included
   NameTable() : names_{""} {}
-  // The name's number; a new name is added while there is room.
+  // The name's number; a new name is added until kMaxNames is reached.
   std::uint16_t numberOf(std::string_view name);
   const std::string& at(std::uint16_t number) const { return names_[number]; }
   std::size_t size() const { return names_.size(); }
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -169,7 +169,7 @@
 
 // ---- the share of a server that returns in slow start, and of a slow server ----
 
-// How many of 400 requests go to server 2 after it was put back. It then answers within `cold`, the others
+// How many of 400 requests go to server 2 after it was put back. It then answers within `latency`, the others
 // within 100 ms.
 int sentToReturned(Time latency, bool weighted = false, double capacity = 1) {
   Settings settings = makeSettings();
