--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -48,7 +48,7 @@
     gate.onFirstByte(now, id);
     gate.onRequest(id);
     benchmark::DoNotOptimize(gate.onAnswer(now, id, false));
-    gate.onRest(now, id);
+    gate.onIdle(now, id);
   }
   std::minstd_rand engine{7};
   std::uint32_t random() { return static_cast<std::uint32_t>(engine()); }
@@ -74,7 +74,8 @@
   Crowd crowd(static_cast<std::size_t>(state.range(0)), static_cast<std::uint32_t>(state.range(1)));
   for (auto _ : state) {
     crowd.now += 1000;
-    if (const auto victim = crowd.gate.makeRoom(crowd.now)) crowd.gate.onClosed(victim->id, victim->reason);
+    if (const auto victim = crowd.gate.evictionCandidate(crowd.now))
+      crowd.gate.onClosed(victim->id, victim->reason);
     benchmark::DoNotOptimize(crowd.gate.onAccepted(crowd.now, peer(crowd.random() % 200)));
   }
 }
--- a/src/admission/connections.cpp
+++ b/src/admission/connections.cpp
@@ -15,7 +15,7 @@
 // part of all.
 constexpr double kOverShare = 2;
 constexpr std::size_t kLargePart = 8;
-// Connections with input waiting that makeRoom() passes over before it says that there is none.
+// Connections with input waiting that evictionCandidate() passes over before it says that there is none.
 constexpr int kMostSkipped = 64;
 
 }  // namespace
@@ -162,12 +162,12 @@
   const bool full_without_silent = connections_ - silent() > limits_.most;
   if (std::exchange(r->beyond, false) && (full_without_silent || atBound(peers_[r->peer])))
     return RejectionReason::ConnectionLimit;
-  if (more || !reuse_.frugal()) return RejectionReason::None;
+  if (more || !reuse_.keepsFewIdle()) return RejectionReason::None;
   // One that was used again before is as good as any.
   return r->requests < 2 && idle() >= limits_.kept ? RejectionReason::NotReused : RejectionReason::None;
 }
 
-void ConnectionGate::onRest(Time now, ConnectionId id) {
+void ConnectionGate::onIdle(Time now, ConnectionId id) {
   Record* const r = find(id);
   if (r == nullptr) return;
   enter(*r, State::Idle, now, limits_.idle);
@@ -202,7 +202,7 @@
   return r != nullptr && r->beyond && (busy() > limits_.most || atBound(peers_[r->peer]));
 }
 
-void ConnectionGate::notYet(Time now, ConnectionId id) {
+void ConnectionGate::notePendingInput(Time now, ConnectionId id) {
   Record* const r = find(id);
   if (r == nullptr) return;
   r->skipped = true;
@@ -239,7 +239,8 @@
   return oldest(peers_[peer].resting, &Record::of_peer, now, before, RejectionReason::PeerQuota);
 }
 
-std::optional<ConnectionGate::Closing> ConnectionGate::makeRoomAt(Time now, const PeerAddress& peer) {
+std::optional<ConnectionGate::Closing> ConnectionGate::evictionCandidateOf(Time now,
+                                                                           const PeerAddress& peer) {
   const auto it = peer_slots_.find(peer);
   if (it == peer_slots_.end() || !atBound(peers_[it->second])) return std::nullopt;
   return oldest(peers_[it->second].resting, &Record::of_peer, now, now, RejectionReason::PeerQuota);
@@ -251,7 +252,7 @@
 // the very end, and those that have connected just now never: a client whose request is on its way would lose
 // it. In a crowd that says nothing no kept one goes for another of the crowd: there is room again as soon as
 // the protection is over.
-std::optional<ConnectionGate::Closing> ConnectionGate::makeRoom(Time now, Time rested) {
+std::optional<ConnectionGate::Closing> ConnectionGate::evictionCandidate(Time now, Time rested) {
   const Time before = now - rested;
   const auto first = [&](const SlotList& list, Time since, RejectionReason reason) {
     return oldest(list, &Record::order, now, since, reason);
@@ -261,7 +262,7 @@
   if (auto c = overShare(now, before)) return c;
   if (crowded() && !silent_.empty()) return std::nullopt;
   if (auto c = first(once_, before,
-                     reuse_.frugal() ? RejectionReason::UnusedEvicted : RejectionReason::IdleEvicted))
+                     reuse_.keepsFewIdle() ? RejectionReason::UnusedEvicted : RejectionReason::IdleEvicted))
     return c;
   if (auto c = first(used_, before, RejectionReason::IdleEvicted)) return c;
   return first(silent_, before, RejectionReason::SilentEvicted);
--- a/src/admission/include/admission/connections.h
+++ b/src/admission/include/admission/connections.h
@@ -63,7 +63,7 @@
   // request has begun to come already.
   RejectionReason onAnswer(Time now, ConnectionId id, bool more);
   // The answer is written and the connection rests.
-  void onRest(Time now, ConnectionId id);
+  void onIdle(Time now, ConnectionId id);
   // The answer is written, the connection closes, the client may still be sending.
   void onLinger(Time now, ConnectionId id);
   // It is closed, by whom ever.
@@ -79,13 +79,13 @@
   bool refuses(ConnectionId id) const;
   // Whom to close next when a place is needed; nothing if everybody has a request open. `rested`: only those
   // that have rested for at least this long. Input may have come that was not reported yet: then the embedder
-  // calls notYet() and asks again.
-  std::optional<Closing> makeRoom(Time now, Time rested = 0);
+  // calls notePendingInput() and asks again.
+  std::optional<Closing> evictionCandidate(Time now, Time rested = 0);
   // The same among those of one address that holds more than limits().per_peer; nothing if it does not.
-  std::optional<Closing> makeRoomAt(Time now, const PeerAddress& peer);
-  // Input waits on a resting connection: it is passed over in makeRoom() until its next event, and is overdue
-  // a little later.
-  void notYet(Time now, ConnectionId id);
+  std::optional<Closing> evictionCandidateOf(Time now, const PeerAddress& peer);
+  // Input waits on a resting connection: it is passed over in evictionCandidate() until its next event, and
+  // is overdue a little later.
+  void notePendingInput(Time now, ConnectionId id);
   // What has been in one state for too long, appended to `out`. They stay until they are closed or move on.
   void overdue(Time now, std::vector<Overdue>& out);
   // Why a connection that was in `state` for too long is closed.
@@ -103,7 +103,7 @@
   std::size_t busy() const { return connections_ - silent() - idle(); }
   std::size_t peers() const { return peer_slots_.size(); }
   const Limits& limits() const { return limits_; }
-  const ReuseJudge& reuse() const { return reuse_; }
+  const ReusePolicy& reuse() const { return reuse_; }
   const std::array<std::uint64_t, kRejectionReasons>& closed() const { return closed_; }
   std::uint64_t accepted() const { return accepted_; }
   // How long a silent connection is protected: clients that ask do so within about a quarter of it.
@@ -160,7 +160,7 @@
   static constexpr std::size_t kBuckets = 128;  // 12.8 s: what is due later is looked at once a turn
 
   Limits limits_;
-  ReuseJudge reuse_;
+  ReusePolicy reuse_;
   std::vector<Record> records_;
   std::vector<Slot> free_;
   SlotList silent_, once_, used_;  // the longest at rest first
--- a/src/admission/include/admission/reuse.h
+++ b/src/admission/include/admission/reuse.h
@@ -19,7 +19,7 @@
 //
 // It would harm clients that use one connection in turn with more others than are kept, each seldom: their
 // handshakes are what it costs.
-class ReuseJudge {
+class ReusePolicy {
  public:
   // The first byte of a request has come, as the `nth` on its connection, from 1; `idle`: kept connections at
   // that moment, this one too.
@@ -28,8 +28,8 @@
   // for room: they never had their chance.
   void onUnused(std::uint32_t requests);
 
-  bool frugal() const { return frugal_; }
-  double reusedPart() const { return reused_; }
+  bool keepsFewIdle() const { return frugal_; }
+  double reusedFraction() const { return reused_; }
 
  private:
   static constexpr double kWeight = 0.04;       // the last 25 requests count
--- a/src/admission/reuse.cpp
+++ b/src/admission/reuse.cpp
@@ -4,7 +4,7 @@
 
 namespace client_proxy::admission {
 
-void ReuseJudge::onRequest(Time now, std::uint32_t nth, std::size_t idle) {
+void ReusePolicy::onRequest(Time now, std::uint32_t nth, std::size_t idle) {
   // Without an idle connection there was nothing to choose.
   if (nth == 1 && idle == 0) return;
   reused_ += kWeight * ((nth > 1 ? 1 : 0) - reused_);
@@ -25,7 +25,7 @@
   kept_until_ = now + hold_;
 }
 
-void ReuseJudge::onUnused(std::uint32_t requests) {
+void ReusePolicy::onUnused(std::uint32_t requests) {
   if (frugal_ && requests == 1) trials_ -= kTrialWeight * trials_;
 }
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -52,7 +52,7 @@
 }  // namespace
 
 void Server::Connection::rest() {
-  if (resting_ && state_ == State::Reading) server_.gate_.onRest(server_.now(), id_);
+  if (resting_ && state_ == State::Reading) server_.gate_.onIdle(server_.now(), id_);
 }
 
 void Server::Connection::start() {
@@ -143,7 +143,8 @@
 }
 
 void Server::Connection::overdue(RejectionReason reason) {
-  if (resting_ && inputWaits()) return server_.gate_.notYet(server_.now(), id_);  // its reading is under way
+  if (resting_ && inputWaits())
+    return server_.gate_.notePendingInput(server_.now(), id_);  // its reading is under way
   if (resting_ && reason == RejectionReason::IdleTimeout) return retire(reason);
   if (resting_ || state_ != State::Reading) return close(reason);
   abandonUpload();
@@ -224,7 +225,7 @@
   tellStreamed(true);
   if (close_) return linger();
   resting_ = true;
-  server_.gate_.onRest(server_.now(), id_);
+  server_.gate_.onIdle(server_.now(), id_);
   const auto self = shared_from_this();
   nextRequest();
   if (server_.give_) handOn();
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -187,7 +187,7 @@
   const auto connection = std::make_shared<Connection>(*this, id, std::move(socket));
   connections_.emplace(id, connection);
   connection->start();
-  closeChosen([&] { return gate_.makeRoomAt(now(), peer); });
+  closeChosen([&] { return gate_.evictionCandidateOf(now(), peer); });
   return connection;
 }
 
@@ -198,7 +198,7 @@
 }
 
 bool Server::closeOneIdle(Time rested) {
-  return closeChosen([&] { return gate_.makeRoom(now(), rested); });
+  return closeChosen([&] { return gate_.evictionCandidate(now(), rested); });
 }
 
 // What is chosen but has input waiting is passed over: its reading is under way.
@@ -210,7 +210,7 @@
       if (why != nullptr) *why = victim->reason;
       return connection;
     }
-    gate_.notYet(now(), victim->id);
+    gate_.notePendingInput(now(), victim->id);
   }
   return nullptr;
 }
@@ -249,7 +249,7 @@
 void Server::drain(bool on) { draining_ = on; }
 
 void Server::closeIdle(Time rested) {
-  while (const auto resting = chosen([&] { return gate_.makeRoom(now(), rested); }))
+  while (const auto resting = chosen([&] { return gate_.evictionCandidate(now(), rested); }))
     resting->retire(RejectionReason::Shutdown);
 }
 
--- a/tests/admission_connections_test.cpp
+++ b/tests/admission_connections_test.cpp
@@ -30,7 +30,7 @@
     gate.onFirstByte(now, id);
     gate.onRequest(id);
     const RejectionReason verdict = gate.onAnswer(now, id, false);
-    if (verdict == RejectionReason::None) gate.onRest(now, id);
+    if (verdict == RejectionReason::None) gate.onIdle(now, id);
     return verdict;
   }
   // A request on a connection of its own; closed with its answer where that is the verdict.
@@ -95,7 +95,7 @@
   const ConnectionId id = rested(1);
   now += 5 * kSecond;
   ASSERT_EQ(overdue(), std::vector{id});
-  gate.notYet(now, id);
+  gate.notePendingInput(now, id);
   EXPECT_TRUE(overdue().empty());
   now += 200 * kMs;
   EXPECT_EQ(overdue(), std::vector{id});
@@ -107,7 +107,7 @@
   const ConnectionId silent = gate.onAccepted(now, peer(1));
   std::vector<ConnectionId> order;
   now += kSecond;
-  while (const auto victim = gate.makeRoom(now)) {
+  while (const auto victim = gate.evictionCandidate(now)) {
     order.push_back(victim->id);
     gate.onClosed(victim->id, victim->reason);
   }
@@ -117,7 +117,7 @@
 TEST_F(ConnectionGateTest, WhoHasConnectedJustNowIsNotClosed) {
   gate.onAccepted(now, peer(1));
   now += 10 * kMs;
-  EXPECT_FALSE(gate.makeRoom(now));
+  EXPECT_FALSE(gate.evictionCandidate(now));
 }
 
 TEST_F(ConnectionGateTest, TheGraceOfSilentOnesFollowsHowSoonClientsAsk) {
@@ -139,15 +139,15 @@
   now += kSecond;
   std::vector<ConnectionId> crowd;
   for (int i = 0; i < 60; ++i) crowd.push_back(gate.onAccepted(now, peer(1)));
-  EXPECT_FALSE(gate.makeRoom(now));
+  EXPECT_FALSE(gate.evictionCandidate(now));
   now += 20 * kMs;
   for (const ConnectionId expected : crowd) {
-    const auto victim = gate.makeRoom(now);
+    const auto victim = gate.evictionCandidate(now);
     ASSERT_TRUE(victim);
     EXPECT_EQ(victim->id, expected);
     gate.onClosed(victim->id, victim->reason);
   }
-  EXPECT_EQ(gate.makeRoom(now)->id, kept);
+  EXPECT_EQ(gate.evictionCandidate(now)->id, kept);
 }
 
 TEST_F(ConnectionGateTest, OneAddressThatHoldsFarMoreGivesWayFirst) {
@@ -156,12 +156,12 @@
   std::vector<ConnectionId> crowd;
   for (int i = 0; i < 99; ++i) crowd.push_back(rested(1));
   now += kSecond;
-  const auto victim = gate.makeRoom(now);
+  const auto victim = gate.evictionCandidate(now);
   ASSERT_TRUE(victim);
   EXPECT_EQ(victim->id, crowd.front());
   EXPECT_EQ(victim->reason, RejectionReason::PeerQuota);
   gate.onClosed(other, RejectionReason::None);
-  const auto alone = gate.makeRoom(now);
+  const auto alone = gate.evictionCandidate(now);
   ASSERT_TRUE(alone);
   EXPECT_NE(alone->reason, RejectionReason::PeerQuota) << "the only address is not over a share";
 }
@@ -169,12 +169,12 @@
 TEST_F(ConnectionGateTest, InputThatWaitsProtects) {
   const ConnectionId first = rested(1), second = rested(1);
   now += kSecond;
-  ASSERT_EQ(gate.makeRoom(now)->id, first);
-  gate.notYet(now, first);
-  EXPECT_EQ(gate.makeRoom(now)->id, second);
+  ASSERT_EQ(gate.evictionCandidate(now)->id, first);
+  gate.notePendingInput(now, first);
+  EXPECT_EQ(gate.evictionCandidate(now)->id, second);
   ask(first);
   now += kSecond;
-  EXPECT_EQ(gate.makeRoom(now)->id, second);
+  EXPECT_EQ(gate.evictionCandidate(now)->id, second);
 }
 
 TEST_F(ConnectionGateTest, BeyondTheBoundAFewAreTakenToBeRefused) {
@@ -213,22 +213,22 @@
   int kept = 0;
   for (int i = 0; i < 300; ++i) kept += askOnce() == RejectionReason::None ? 1 : 0;
   EXPECT_LT(kept, 60);
-  EXPECT_TRUE(gate.reuse().frugal());
+  EXPECT_TRUE(gate.reuse().keepsFewIdle());
   EXPECT_LT(gate.idle(), 60U);
 }
 
 TEST_F(ConnectionGateTest, ItKeepsThemAgainOnceTheyAreUsed) {
   for (int i = 0; i < 300; ++i) askOnce();
-  ASSERT_TRUE(gate.reuse().frugal());
+  ASSERT_TRUE(gate.reuse().keepsFewIdle());
   // Those it kept are closed by the client; the next few are kept for trial and used.
-  while (const auto victim = gate.makeRoom(now)) gate.onClosed(victim->id, RejectionReason::None);
+  while (const auto victim = gate.evictionCandidate(now)) gate.onClosed(victim->id, RejectionReason::None);
   std::vector<ConnectionId> pool;
   for (int i = 0; i < 8; ++i) pool.push_back(rested(1));
   for (int i = 0; i < 40; ++i) {
     now += 3 * kMs;
     ask(pool[static_cast<std::size_t>(i) % pool.size()]);
   }
-  EXPECT_FALSE(gate.reuse().frugal());
+  EXPECT_FALSE(gate.reuse().keepsFewIdle());
 }
 
 // After a restart all come at once, and each asks again only seconds later.
@@ -245,19 +245,19 @@
         gate.onClosed(std::exchange(c, 0), verdict);
     }
   }
-  EXPECT_FALSE(gate.reuse().frugal());
+  EXPECT_FALSE(gate.reuse().keepsFewIdle());
   EXPECT_LT(handshakes, 1200) << "two rounds' worth and a little, not six";
 }
 
 TEST(ReuseJudge, ClientsThatChangeTheirMindOftenMakeItSlower) {
-  ReuseJudge judge;
+  ReusePolicy judge;
   Time now = kSecond;
   int returns = 0;
   for (int i = 0; i < 20'000; ++i, now += 2 * kMs) {
-    const bool was = judge.frugal();
+    const bool was = judge.keepsFewIdle();
     const bool phase = i / 250 % 2 == 0;  // half a second of each
     judge.onRequest(now, phase ? 2 : 1, 4);
-    returns += was && !judge.frugal() ? 1 : 0;
+    returns += was && !judge.keepsFewIdle() ? 1 : 0;
   }
   EXPECT_LE(returns, 8) << "40 s, 40 changes";
 }
@@ -288,7 +288,7 @@
       now += below(8) == 0 ? below(100'000) : below(500);
       if (!gate.overfull() && below(3) == 0) {
         if (gate.full()) {
-          if (const auto v = gate.makeRoom(now)) {
+          if (const auto v = gate.evictionCandidate(now)) {
             const State s = model.at(v->id).state;
             ASSERT_TRUE(s == State::Silent || s == State::Idle);
             close(v->id, v->reason);
@@ -314,7 +314,7 @@
           break;
         case State::Waiting:
           if (gate.onAnswer(now, id, below(9) == 0) == RejectionReason::None) {
-            gate.onRest(now, id);
+            gate.onIdle(now, id);
             k = {State::Idle, now + limits.idle};
           } else {
             gate.onLinger(now, id);
