--- a/src/admission/include/admission/rejection_counters.h
+++ b/src/admission/include/admission/rejection_counters.h
@@ -50,7 +50,7 @@
   std::size_t tenants() const { return tenants_; }
 
   // "12 open_full, 3 too_late": what came since the last call, let in not counted; empty if nothing did.
-  std::string newsSinceLast(const std::array<std::uint64_t, kRejectionReasons>& also = {}) {
+  std::string summarySinceLast(const std::array<std::uint64_t, kRejectionReasons>& also = {}) {
     std::string news;
     for (std::size_t c = 1; c < kRejectionReasons; ++c) {
       const std::uint64_t now = totals_[c] + also[c];
--- a/src/admission/include/admission/requests.h
+++ b/src/admission/include/admission/requests.h
@@ -32,10 +32,10 @@
   bool retry = false;        // the client marked it as its own repeat
 };
 
-enum class Entry : std::uint8_t { Admitted, Waits, Refused };
+enum class AdmissionOutcome : std::uint8_t { Admitted, Queued, Refused };
 
 struct Verdict {
-  Entry entry = Entry::Admitted;
+  AdmissionOutcome outcome = AdmissionOutcome::Admitted;
   RejectionReason reason = RejectionReason::None;  // where refused
 };
 
@@ -72,7 +72,7 @@
 
   // A request's head has come: the cause for which it would be refused if it were whole, or none. Spares
   // reading a body for nothing.
-  RejectionReason early(const AdmissionRequest& ask) const;
+  RejectionReason checkHead(const AdmissionRequest& ask) const;
   // A whole request asks for a place. To make room in the queue it may displace others, appended to
   // `refused`.
   Verdict offer(Time now, const AdmissionRequest& ask, std::vector<Refusal>& refused);
@@ -85,7 +85,7 @@
   // When next() is to be called at the latest; the largest time if nobody waits.
   Time due() const;
   // How long a client that is refused now should stay away: longer, the more are refused for each let in.
-  Time advice(Time now);
+  Time retryAfter(Time now);
 
   std::size_t open() const { return open_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
--- a/src/admission/requests.cpp
+++ b/src/admission/requests.cpp
@@ -119,7 +119,7 @@
   return longest;
 }
 
-RejectionReason RequestGate::early(const AdmissionRequest& ask) const {
+RejectionReason RequestGate::checkHead(const AdmissionRequest& ask) const {
   if (overRetries(ask)) return RejectionReason::RetryBudget;
   const RejectionReason reason = blocked(ask);
   if (reason == RejectionReason::None || waiting_.size() < limits_.waiting) return RejectionReason::None;
@@ -137,9 +137,9 @@
   fade(now);
   const auto refuse = [&](RejectionReason reason) {
     turned_away_ += 1;
-    return Verdict{Entry::Refused, reason};
+    return Verdict{AdmissionOutcome::Refused, reason};
   };
-  if (const RejectionReason reason = early(ask); reason != RejectionReason::None) return refuse(reason);
+  if (const RejectionReason reason = checkHead(ask); reason != RejectionReason::None) return refuse(reason);
   // Nobody passes those of the same kind that wait already, unless what they wait for is memory.
   const RejectionReason reason = blocked(ask);
   const bool line = lines_.count(pairOf(ask)) > 0 && pickNext() != nullptr;
@@ -157,7 +157,7 @@
     refused.push_back({last, RejectionReason::EvictedFromQueue});
   }
   enqueue(ask);
-  return {Entry::Waits, RejectionReason::None};
+  return {AdmissionOutcome::Queued, RejectionReason::None};
 }
 
 void RequestGate::admit(Time now, const AdmissionRequest& ask) {
@@ -256,7 +256,7 @@
   turned_away_ += 1;
 }
 
-Time RequestGate::advice(Time now) {
+Time RequestGate::retryAfter(Time now) {
   fade(now);
   const double excess = turned_away_ / std::max(1.0, let_in_);
   const double advised = static_cast<double>(limits_.advice_least) * (1 + excess);
--- a/src/front/proxy.cpp
+++ b/src/front/proxy.cpp
@@ -128,7 +128,8 @@
   };
   if (const auto fault = faultOf(head, info->idempotency)) return counted(plainAnswer(fault->status));
   const admission::AdmissionRequest admission_request = admissionRequestOf(0, head, *info, 0, 0);
-  const RejectionReason reason = room ? requests_.early(admission_request) : RejectionReason::ConnectionLimit;
+  const RejectionReason reason =
+      room ? requests_.checkHead(admission_request) : RejectionReason::ConnectionLimit;
   if (reason == RejectionReason::None) return std::nullopt;
   requests_.noteRefused(clock_.now());
   return counted(rejection(admission_request, reason));
@@ -168,18 +169,18 @@
   if (request.rest) uploads_[id] = left;
   std::vector<admission::Refusal> displaced;
   const admission::Verdict verdict = requests_.offer(clock_.now(), admission_request, displaced);
-  switch (verdict.entry) {
-    case admission::Entry::Admitted:
+  switch (verdict.outcome) {
+    case admission::AdmissionOutcome::Admitted:
       acquireIndices(admission_request);
       rejection_counters_.note(RejectionReason::None, admission_request.request_class,
                                admission_request.tenant);
       open(admission_request, std::move(request), *info, service_claim);
       break;
-    case admission::Entry::Waits:
+    case admission::AdmissionOutcome::Queued:
       acquireIndices(admission_request);
       waiting_.emplace(id, QueuedRequest{std::move(request), *info, admission_request, 0, service_claim});
       break;
-    case admission::Entry::Refused:
+    case admission::AdmissionOutcome::Refused:
       onRequestDone(request.head.correlation, false);
       uploads_.erase(id);
       conclude(id, info->index, rejection(admission_request, verdict.reason));
@@ -206,7 +207,7 @@
 Answer Proxy::rejection(const admission::AdmissionRequest& admission_request, RejectionReason reason) {
   rejection_counters_.note(reason, admission_request.request_class, admission_request.tenant);
   Answer answer = plainAnswer(503);
-  if (const Time advice = requests_.advice(clock_.now()); advice > 0) answer.retry_after = advice;
+  if (const Time advice = requests_.retryAfter(clock_.now()); advice > 0) answer.retry_after = advice;
   return answer;
 }
 
@@ -282,7 +283,7 @@
 }
 
 void Proxy::logSummary() {
-  const std::string news = rejection_counters_.newsSinceLast(server_.gate().closed());
+  const std::string news = rejection_counters_.summarySinceLast(server_.gate().closed());
   if (!news.empty()) log_.line("admission, last 10 s: " + news);
   timers_.after(kSummary, [this] { logSummary(); });
 }
--- a/tests/admission_index_registry_test.cpp
+++ b/tests/admission_index_registry_test.cpp
@@ -90,9 +90,9 @@
 TEST(RequestGateReconfigure, WhatIsOpenStaysAndWhoWaitsGetsTheNewPlaces) {
   RequestGate gate({.open = 2, .waiting = 4, .classes = {{}, {}}});
   std::vector<Refusal> refused;
-  EXPECT_EQ(gate.offer(0, ask(1, 0), refused).entry, Entry::Admitted);
-  EXPECT_EQ(gate.offer(0, ask(2, 1), refused).entry, Entry::Admitted);
-  EXPECT_EQ(gate.offer(0, ask(3, 1, 5), refused).entry, Entry::Waits);
+  EXPECT_EQ(gate.offer(0, ask(1, 0), refused).outcome, AdmissionOutcome::Admitted);
+  EXPECT_EQ(gate.offer(0, ask(2, 1), refused).outcome, AdmissionOutcome::Admitted);
+  EXPECT_EQ(gate.offer(0, ask(3, 1, 5), refused).outcome, AdmissionOutcome::Queued);
   gate.reconfigure({.open = 3, .waiting = 4, .classes = {{}, {}, {}}, .tenants = {{}, {}}});
   EXPECT_EQ(gate.open(), 2U);
   EXPECT_EQ(gate.openOfClass(1), 1U);
@@ -102,7 +102,8 @@
   EXPECT_EQ(gate.openOfClass(1), 2U);
   EXPECT_EQ(gate.openOfClass(2), 0U);
   gate.reconfigure({.open = 1, .waiting = 4, .classes = {{}, {}, {}}});
-  EXPECT_EQ(gate.offer(2, ask(4, 2), refused).entry, Entry::Waits) << "what is open is not thrown out";
+  EXPECT_EQ(gate.offer(2, ask(4, 2), refused).outcome, AdmissionOutcome::Queued)
+      << "what is open is not thrown out";
   for (const RequestKey id : {1, 2, 3}) gate.release(3, id);
   admitted.clear();
   gate.next(3, admitted, refused);
@@ -115,8 +116,8 @@
   EXPECT_THROW(gate.reconfigure({.open = 2, .classes = {{.guaranteed = 3}}}), std::invalid_argument);
   EXPECT_EQ(gate.limits().classes.at(0).guaranteed, 1U);
   std::vector<Refusal> refused;
-  EXPECT_EQ(gate.offer(0, ask(1, -1), refused).entry, Entry::Admitted);
-  EXPECT_EQ(gate.offer(0, ask(2, -1), refused).entry, Entry::Refused) << "kept for the class";
+  EXPECT_EQ(gate.offer(0, ask(1, -1), refused).outcome, AdmissionOutcome::Admitted);
+  EXPECT_EQ(gate.offer(0, ask(2, -1), refused).outcome, AdmissionOutcome::Refused) << "kept for the class";
 }
 
 // Random requests and limits, against sums made by hand.
@@ -149,8 +150,8 @@
       const RequestKey id = next_id++;
       const auto cls = static_cast<std::int32_t>(random() % classes);
       const Verdict v = gate.offer(round, ask(id, cls), refused);
-      if (v.entry == Entry::Admitted) open[id] = cls;
-      if (v.entry == Entry::Waits) waiting[id] = cls;
+      if (v.outcome == AdmissionOutcome::Admitted) open[id] = cls;
+      if (v.outcome == AdmissionOutcome::Queued) waiting[id] = cls;
     } else if (!open.empty()) {
       gate.release(round, open.begin()->first);
       open.erase(open.begin());
@@ -180,7 +181,7 @@
   EXPECT_EQ(ledger.count(RejectionReason::DeadlineUnreachable, 3, 2), 1U) << "other classes and tenants";
   EXPECT_EQ(ledger.count(RejectionReason::DeadlineUnreachable, 1, 1), 0U);
   EXPECT_EQ(ledger.total(RejectionReason::ConcurrencyLimit), 2U);
-  EXPECT_EQ(ledger.newsSinceLast(), "2 open_full, 1 too_late");
+  EXPECT_EQ(ledger.summarySinceLast(), "2 open_full, 1 too_late");
   ledger.grow(1, 1);
   EXPECT_EQ(ledger.classes(), 4U) << "it never shrinks";
 }
--- a/tests/admission_requests_test.cpp
+++ b/tests/admission_requests_test.cpp
@@ -23,7 +23,9 @@
     verdict = gate.offer(now, {id, cls, tenant, bytes, now + left, retry}, refused);
     return id;
   }
-  Entry entry(std::int32_t cls = 0, std::int32_t tenant = 0) { return offer(cls, tenant), verdict.entry; }
+  AdmissionOutcome outcome(std::int32_t cls = 0, std::int32_t tenant = 0) {
+    return offer(cls, tenant), verdict.outcome;
+  }
   void release(RequestKey id) {
     gate.release(now, id);
     next();
@@ -44,7 +46,7 @@
 
 TEST(RequestGate, WithoutBoundsEveryoneIsLetIn) {
   Gate g({});
-  for (int i = 0; i < 10'000; ++i) ASSERT_EQ(g.entry(i % 7, i % 3), Entry::Admitted);
+  for (int i = 0; i < 10'000; ++i) ASSERT_EQ(g.outcome(i % 7, i % 3), AdmissionOutcome::Admitted);
   EXPECT_EQ(g.gate.open(), 10'000U);
 }
 
@@ -53,9 +55,9 @@
   const RequestKey first = g.offer();
   g.offer();
   const RequestKey waits = g.offer();
-  EXPECT_EQ(g.verdict.entry, Entry::Waits);
+  EXPECT_EQ(g.verdict.outcome, AdmissionOutcome::Queued);
   g.offer();
-  EXPECT_EQ(g.verdict.entry, Entry::Refused);
+  EXPECT_EQ(g.verdict.outcome, AdmissionOutcome::Refused);
   EXPECT_EQ(g.verdict.reason, RejectionReason::ConcurrencyLimit);
   g.release(first);
   EXPECT_EQ(g.admitted, std::vector{waits});
@@ -95,11 +97,11 @@
 TEST(RequestGate, AClassBelowItsGuaranteeIsLetInWhateverTheOthersHold) {
   Gate g({.open = 10, .classes = {{}, {.guaranteed = 3}}});
   int readings = 0;
-  while (g.entry(0) == Entry::Admitted) ++readings;
+  while (g.outcome(0) == AdmissionOutcome::Admitted) ++readings;
   EXPECT_EQ(readings, 7);
   EXPECT_EQ(g.verdict.reason, RejectionReason::ClassLimit);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(g.entry(1), Entry::Admitted);
-  EXPECT_EQ(g.entry(1), Entry::Refused);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(g.outcome(1), AdmissionOutcome::Admitted);
+  EXPECT_EQ(g.outcome(1), AdmissionOutcome::Refused);
 }
 
 TEST(RequestGate, ATenantAtTenTimesItsShareLeavesTheOtherItsPlaces) {
@@ -114,7 +116,7 @@
     const std::int32_t tenant = step % 11 == 0 ? 0 : 1;  // ten times as many
     const RequestKey id = g.offer(0, tenant, 1, 10 * kSecond);
     tenant_of[id] = tenant;
-    if (g.verdict.entry == Entry::Admitted) take(id);
+    if (g.verdict.outcome == AdmissionOutcome::Admitted) take(id);
     if (step % 4 != 0) continue;  // the fleet does a quarter of what is asked for
     g.now += kMs;
     g.release(open.front());
@@ -130,9 +132,9 @@
   g.offer(0);
   for (int i = 0; i < 3; ++i) g.offer(0);
   const RequestKey last = g.offer(0, 0, 1, 2 * kSecond);
-  ASSERT_EQ(g.entry(0), Entry::Refused);
+  ASSERT_EQ(g.outcome(0), AdmissionOutcome::Refused);
   g.offer(1);
-  EXPECT_EQ(g.verdict.entry, Entry::Waits);
+  EXPECT_EQ(g.verdict.outcome, AdmissionOutcome::Queued);
   ASSERT_EQ(g.refused.size(), 1U);
   EXPECT_EQ(g.refused[0].id, last);
   EXPECT_EQ(g.refused[0].reason, RejectionReason::EvictedFromQueue);
@@ -143,9 +145,9 @@
   Gate g({.bytes = 100, .waiting = 10});
   const RequestKey big = g.offer(0, 0, 90);
   const RequestKey other = g.offer(0, 0, 60);
-  EXPECT_EQ(g.verdict.entry, Entry::Waits);
+  EXPECT_EQ(g.verdict.outcome, AdmissionOutcome::Queued);
   g.offer(0, 0, 5);
-  EXPECT_EQ(g.verdict.entry, Entry::Admitted);
+  EXPECT_EQ(g.verdict.outcome, AdmissionOutcome::Admitted);
   g.release(big);
   EXPECT_EQ(g.admitted, std::vector{other});
   EXPECT_EQ(g.gate.bytes(), 65U);
@@ -154,7 +156,7 @@
 TEST(RequestGate, OneAloneMayExceedTheBytes) {
   Gate g({.bytes = 100});
   g.offer(0, 0, 500);
-  EXPECT_EQ(g.verdict.entry, Entry::Admitted);
+  EXPECT_EQ(g.verdict.outcome, AdmissionOutcome::Admitted);
   g.offer(0, 0, 1);
   EXPECT_EQ(g.verdict.reason, RejectionReason::MemoryLimit);
 }
@@ -165,37 +167,37 @@
   int repeats = 0;
   for (int i = 0; i < 500; ++i) {
     g.offer(0, 0, 1, kSecond, true);
-    repeats += g.verdict.entry == Entry::Admitted ? 1 : 0;
+    repeats += g.verdict.outcome == AdmissionOutcome::Admitted ? 1 : 0;
   }
   EXPECT_EQ(repeats, 10);
   EXPECT_EQ(g.verdict.reason, RejectionReason::RetryBudget);
-  for (int i = 0; i < 40; ++i) ASSERT_EQ(g.entry(), Entry::Admitted);
+  for (int i = 0; i < 40; ++i) ASSERT_EQ(g.outcome(), AdmissionOutcome::Admitted);
   for (int i = 0; i < 500; ++i) {
     g.offer(0, 0, 1, kSecond, true);
-    repeats += g.verdict.entry == Entry::Admitted ? 1 : 0;
+    repeats += g.verdict.outcome == AdmissionOutcome::Admitted ? 1 : 0;
   }
   EXPECT_EQ(repeats, 20) << "half of the first tries that are open";
 }
 
 TEST(RequestGate, TheHeadAloneTellsWhatWouldBeRefused) {
   Gate g({.open = 1, .retries_least = 0, .retries_part = 0});
-  EXPECT_EQ(g.gate.early({.id = 9}), RejectionReason::None);
-  EXPECT_EQ(g.gate.early({.id = 9, .retry = true}), RejectionReason::RetryBudget);
+  EXPECT_EQ(g.gate.checkHead({.id = 9}), RejectionReason::None);
+  EXPECT_EQ(g.gate.checkHead({.id = 9, .retry = true}), RejectionReason::RetryBudget);
   g.offer();
-  EXPECT_EQ(g.gate.early({.id = 9}), RejectionReason::ConcurrencyLimit);
+  EXPECT_EQ(g.gate.checkHead({.id = 9}), RejectionReason::ConcurrencyLimit);
 }
 
 TEST(RequestGate, TheAdviceGrowsWithTheExcessUpToItsBound) {
   Gate g({.open = 10, .advice_least = 100 * kMs, .advice_most = kSecond});
-  EXPECT_EQ(g.gate.advice(g.now), 100 * kMs);
+  EXPECT_EQ(g.gate.retryAfter(g.now), 100 * kMs);
   for (int i = 0; i < 20; ++i) g.offer();
-  const Time twice = g.gate.advice(g.now);
+  const Time twice = g.gate.retryAfter(g.now);
   EXPECT_EQ(twice, 200 * kMs);
   for (int i = 0; i < 30; ++i) g.offer();
-  EXPECT_GT(g.gate.advice(g.now), twice);
+  EXPECT_GT(g.gate.retryAfter(g.now), twice);
   for (int i = 0; i < 1000; ++i) g.offer();
-  EXPECT_EQ(g.gate.advice(g.now), kSecond);
-  EXPECT_LT(g.gate.advice(g.now + 30 * kSecond), 110 * kMs);
+  EXPECT_EQ(g.gate.retryAfter(g.now), kSecond);
+  EXPECT_LT(g.gate.retryAfter(g.now + 30 * kSecond), 110 * kMs);
 }
 
 TEST(RequestGate, ImpossibleSharesAreRefusedAtStart) {
@@ -262,11 +264,11 @@
                                 (ask.request_class == 2 && gate.openOfClass(2) < 4);
         const bool tenant_owed =
             (ask.tenant == 0 && gate.openOfTenant(0) < 8) || (ask.tenant == 1 && gate.openOfTenant(1) < 2);
-        if (class_owed && tenant_owed && v.entry != Entry::Admitted) {
+        if (class_owed && tenant_owed && v.outcome != AdmissionOutcome::Admitted) {
           ASSERT_TRUE(v.reason == RejectionReason::RetryBudget || ask.bytes + gate.bytes() > limits.bytes);
         }
-        if (v.entry != Entry::Refused) {
-          model.emplace(ask.id, Held{ask, v.entry == Entry::Admitted});
+        if (v.outcome != AdmissionOutcome::Refused) {
+          model.emplace(ask.id, Held{ask, v.outcome == AdmissionOutcome::Admitted});
           ids.push_back(ask.id);
         } else {
           ++ended;
@@ -314,11 +316,11 @@
   EXPECT_EQ(ledger.total(RejectionReason::ConcurrencyLimit), 2U);
   EXPECT_EQ(ledger.count(RejectionReason::ConcurrencyLimit, 1, 0), 1U);
   EXPECT_EQ(ledger.count(RejectionReason::ConcurrencyLimit, 2, 1), 1U);
-  EXPECT_EQ(ledger.newsSinceLast(), "2 open_full");
-  EXPECT_EQ(ledger.newsSinceLast(), "");
+  EXPECT_EQ(ledger.summarySinceLast(), "2 open_full");
+  EXPECT_EQ(ledger.summarySinceLast(), "");
   std::array<std::uint64_t, kRejectionReasons> also{};
   also[static_cast<std::size_t>(RejectionReason::FirstByteTimeout)] = 3;
-  EXPECT_EQ(ledger.newsSinceLast(also), "3 silent_overdue");
+  EXPECT_EQ(ledger.summarySinceLast(also), "3 silent_overdue");
 }
 
 }  // namespace
