--- a/src/admission/connections.cpp
+++ b/src/admission/connections.cpp
@@ -6,17 +6,19 @@
 namespace client_proxy::admission {
 namespace {
 
-// A client that has just connected is about to ask. How long that takes is learnt; these are its bounds.
-constexpr Time kLeastGrace = 20'000, kMostGrace = 200'000;
-constexpr double kGraceFactor = 4;
-constexpr double kAsksWeight = 0.1;   // the last ten connections count
-constexpr double kDelayFades = 0.02;  // of the learnt delay, with each client that asks sooner
-// Room is taken from one address first where it has this many times what the others have on average, and this
-// part of all.
-constexpr double kOverShare = 2;
-constexpr std::size_t kLargePart = 8;
-// Connections with input waiting that evictionCandidate() passes over before it says that there is none.
-constexpr int kMostSkipped = 64;
+// Bounds of the time for which a new connection is protected from eviction. The time within them follows the
+// observed delay from acceptance to the first byte.
+constexpr Time kMinGrace = 20'000, kMaxGrace = 200'000;
+constexpr double kGraceFactor = 4;         // times the observed delay
+constexpr double kRequestingWeight = 0.1;  // a moving average over about ten connections
+constexpr double kDelayDecay = 0.02;       // of the observed delay, with each faster first byte
+// An address is over its share if it has this many times the average number of connections of the others, and
+// at least 1/kLargeShareDivisor of the connections that are allowed.
+constexpr double kOverShareFactor = 2;
+constexpr std::size_t kLargeShareDivisor = 8;
+// How many connections with unread input, or just accepted, evictionCandidate() passes over in one list
+// before it gives up.
+constexpr int kMaxSkipped = 64;
 
 }  // namespace
 
@@ -39,22 +41,22 @@
 }
 
 SlotList& ConnectionGate::listOf(const Record& r) {
-  return r.state == State::Silent ? silent_ : r.requests > 1 ? used_ : once_;
+  return r.state == State::Silent ? silent_ : r.requests > 1 ? idle_reused_ : idle_unreused_;
 }
 
-void ConnectionGate::rest(Slot slot) {
+void ConnectionGate::linkEvictable(Slot slot) {
   Record& r = records_[slot];
-  r.resting = true;
-  r.skipped = false;
+  r.evictable = true;
+  r.input_pending = false;
   listOf(r).pushBack(records_, &Record::order, slot);
-  peers_[r.peer].resting.pushBack(records_, &Record::of_peer, slot);
+  peers_[r.peer].evictable.pushBack(records_, &Record::of_peer, slot);
 }
 
-void ConnectionGate::wake(Slot slot) {
+void ConnectionGate::unlinkEvictable(Slot slot) {
   Record& r = records_[slot];
-  if (!std::exchange(r.resting, false)) return;
+  if (!std::exchange(r.evictable, false)) return;
   listOf(r).remove(records_, &Record::order, slot);
-  peers_[r.peer].resting.remove(records_, &Record::of_peer, slot);
+  peers_[r.peer].evictable.remove(records_, &Record::of_peer, slot);
 }
 
 void ConnectionGate::setDue(Slot slot, Time due) {
@@ -62,22 +64,22 @@
   if (r.due != 0) wheel_[r.bucket].remove(records_, &Record::wheel, slot);
   r.due = due;
   if (due == 0) return;
-  // What is due already goes where the next look begins.
-  r.bucket = static_cast<std::uint16_t>(std::max(due / kTick, swept_) % static_cast<Time>(kBuckets));
+  // An entry that is already due goes into the bucket that is examined first.
+  r.bucket = static_cast<std::uint16_t>(std::max(due / kTick, swept_tick_) % static_cast<Time>(kBuckets));
   wheel_[r.bucket].pushBack(records_, &Record::wheel, slot);
 }
 
-void ConnectionGate::enter(Record& r, State state, Time since, Time limit) {
+void ConnectionGate::enterState(Record& r, State state, Time since, Time limit) {
   const Slot slot = slotOf(r);
-  wake(slot);
+  unlinkEvictable(slot);
   r.state = state;
   r.since = since;
   setDue(slot, since + limit);
 }
 
-void ConnectionGate::recount(Slot peer, std::uint32_t connections) {
+void ConnectionGate::setPeerConnections(Slot peer, std::uint32_t connections) {
   std::uint32_t& count = peers_[peer].connections;
-  // Those with a single connection can't be over a share, and there may be very many of them.
+  // An address with a single connection can't be over its share, and there may be very many of them.
   if (count > 1) by_count_.erase({count, peer});
   count = connections;
   if (count > 1) by_count_.insert({count, peer});
@@ -95,19 +97,19 @@
     peers_[it->second].address = address;
   }
   records_[slot].peer = it->second;
-  recount(it->second, peers_[it->second].connections + 1);
+  setPeerConnections(it->second, peers_[it->second].connections + 1);
 }
 
 void ConnectionGate::leavePeer(Slot slot) {
   const Slot peer = std::exchange(records_[slot].peer, kNoSlot);
-  recount(peer, peers_[peer].connections - 1);
+  setPeerConnections(peer, peers_[peer].connections - 1);
   if (peers_[peer].connections > 0) return;
   peer_slots_.erase(peers_[peer].address);
   free_peers_.push_back(peer);
 }
 
 ConnectionId ConnectionGate::onAccepted(Time now, const PeerAddress& peer) {
-  if (connections_ == 0) swept_ = std::max(swept_, now / kTick);
+  if (connections_ == 0) swept_tick_ = std::max(swept_tick_, now / kTick);
   if (free_.empty()) {
     free_.push_back(static_cast<Slot>(records_.size()));
     records_.emplace_back();
@@ -119,10 +121,10 @@
   r = {};
   r.generation = generation;
   r.since = now;
-  r.beyond = full();
+  r.over_limit = full();
   joinPeer(slot, peer);
-  r.beyond |= atBound(peers_[r.peer]);
-  rest(slot);
+  r.over_limit |= overPeerLimit(peers_[r.peer]);
+  linkEvictable(slot);
   setDue(slot, now + limits_.silent);
   ++connections_;
   ++accepted_;
@@ -135,12 +137,12 @@
   const bool first = r->state == State::Silent;
   if (first) {
     const auto took = static_cast<double>(now - r->since);
-    asks_ += kAsksWeight * (1 - asks_);
-    ask_delay_ = std::max(took, ask_delay_ - kDelayFades * (ask_delay_ - took));
+    requesting_fraction_ += kRequestingWeight * (1 - requesting_fraction_);
+    first_byte_delay_ = std::max(took, first_byte_delay_ - kDelayDecay * (first_byte_delay_ - took));
   }
-  if (r->resting) reuse_.onRequest(now, r->requests + 1, idle());
-  enter(*r, State::Reading, first ? r->since : now, limits_.request);
-  ++r->requests;  // only now: it tells in which list it has rested
+  if (r->evictable) reuse_.onRequest(now, r->requests + 1, idle());
+  enterState(*r, State::Reading, first ? r->since : now, limits_.request);
+  ++r->requests;  // only here: listOf() needs the previous count to unlink it
 }
 
 void ConnectionGate::extend(ConnectionId id, Time due) {
@@ -158,26 +160,26 @@
 RejectionReason ConnectionGate::onAnswer(Time now, ConnectionId id, bool more) {
   Record* const r = find(id);
   if (r == nullptr) return RejectionReason::None;
-  enter(*r, State::Answering, now, limits_.write);
+  enterState(*r, State::Answering, now, limits_.write);
   const bool full_without_silent = connections_ - silent() > limits_.most;
-  if (std::exchange(r->beyond, false) && (full_without_silent || atBound(peers_[r->peer])))
+  if (std::exchange(r->over_limit, false) && (full_without_silent || overPeerLimit(peers_[r->peer])))
     return RejectionReason::ConnectionLimit;
   if (more || !reuse_.keepsFewIdle()) return RejectionReason::None;
-  // One that was used again before is as good as any.
+  // A connection that has already been reused is kept.
   return r->requests < 2 && idle() >= limits_.kept ? RejectionReason::NotReused : RejectionReason::None;
 }
 
 void ConnectionGate::onIdle(Time now, ConnectionId id) {
   Record* const r = find(id);
   if (r == nullptr) return;
-  enter(*r, State::Idle, now, limits_.idle);
-  rest(slotOf(*r));
+  enterState(*r, State::Idle, now, limits_.idle);
+  linkEvictable(slotOf(*r));
 }
 
 void ConnectionGate::onLinger(Time now, ConnectionId id) {
   Record* const r = find(id);
   if (r == nullptr) return;
-  enter(*r, State::Lingering, now, limits_.linger);
+  enterState(*r, State::Lingering, now, limits_.linger);
 }
 
 void ConnectionGate::onClosed(ConnectionId id, RejectionReason reason) {
@@ -187,8 +189,8 @@
   const bool early = reason == RejectionReason::IdleEvicted || reason == RejectionReason::UnusedEvicted ||
                      reason == RejectionReason::PeerQuota;
   if (r->state == State::Idle && !early) reuse_.onUnused(r->requests);
-  if (r->state == State::Silent) asks_ -= kAsksWeight * asks_;
-  wake(slot);
+  if (r->state == State::Silent) requesting_fraction_ -= kRequestingWeight * requesting_fraction_;
+  unlinkEvictable(slot);
   setDue(slot, 0);
   leavePeer(slot);
   free_.push_back(slot);
@@ -198,86 +200,89 @@
 
 bool ConnectionGate::refuses(ConnectionId id) const {
   const Record* const r = find(id);
-  // Whoever says nothing or rests will make room: only those that are busy stand in the way.
-  return r != nullptr && r->beyond && (busy() > limits_.most || atBound(peers_[r->peer]));
+  // Silent and idle connections can be evicted, so only busy ones count against the limit.
+  return r != nullptr && r->over_limit && (busy() > limits_.most || overPeerLimit(peers_[r->peer]));
 }
 
 void ConnectionGate::notePendingInput(Time now, ConnectionId id) {
   Record* const r = find(id);
   if (r == nullptr) return;
-  r->skipped = true;
+  r->input_pending = true;
   if (r->due != 0 && r->due <= now) setDue(slotOf(*r), now + kTick);
 }
 
 Time ConnectionGate::silentGrace() const {
-  if (crowded()) return kLeastGrace;
-  return std::clamp(static_cast<Time>(kGraceFactor * ask_delay_), kLeastGrace, kMostGrace);
+  if (connectionFlood()) return kMinGrace;
+  return std::clamp(static_cast<Time>(kGraceFactor * first_byte_delay_), kMinGrace, kMaxGrace);
 }
 
-// `hook`: of the list. A connection made just now is passed over: its request may be on its way.
+// The first connection of `list` that may be evicted and is in its state since `before` or earlier. `hook`
+// belongs to the list. Passes over connections that were just accepted, since their request may be in
+// transit.
 std::optional<ConnectionGate::Closing> ConnectionGate::oldest(const SlotList& list, Hook Record::*hook,
                                                               Time now, Time before,
                                                               RejectionReason reason) const {
   int skipped = 0;
-  for (Slot s = list.front(); s != kNoSlot; s = (records_[s].*hook).after) {
+  for (Slot s = list.front(); s != kNoSlot; s = (records_[s].*hook).next) {
     const Record& r = records_[s];
     if (r.since > before) return std::nullopt;
-    const bool just_connected = r.state == State::Silent && r.since > now - kLeastGrace;
-    if (!r.skipped && !just_connected) return Closing{idOf(s), reason};
-    if (++skipped > kMostSkipped) return std::nullopt;
+    const bool just_connected = r.state == State::Silent && r.since > now - kMinGrace;
+    if (!r.input_pending && !just_connected) return Closing{idOf(s), reason};
+    if (++skipped > kMaxSkipped) return std::nullopt;
   }
   return std::nullopt;
 }
 
-// One address that holds far more than the others gives way before anybody else's kept connections do.
-std::optional<ConnectionGate::Closing> ConnectionGate::overShare(Time now, Time before) const {
+// A connection of the address with the most connections, if it is over its share: those are evicted before
+// the idle connections of other addresses.
+std::optional<ConnectionGate::Closing> ConnectionGate::candidateOverShare(Time now, Time before) const {
   if (by_count_.empty() || peer_slots_.size() < 2) return std::nullopt;
   const auto [count, peer] = *by_count_.rbegin();
   const double others =
       static_cast<double>(connections_ - count) / static_cast<double>(peer_slots_.size() - 1);
-  if (count < limits_.most / kLargePart || count <= kOverShare * others) return std::nullopt;
-  return oldest(peers_[peer].resting, &Record::of_peer, now, before, RejectionReason::PeerQuota);
+  if (count < limits_.most / kLargeShareDivisor || count <= kOverShareFactor * others) return std::nullopt;
+  return oldest(peers_[peer].evictable, &Record::of_peer, now, before, RejectionReason::PeerQuota);
 }
 
 std::optional<ConnectionGate::Closing> ConnectionGate::evictionCandidateOf(Time now,
                                                                            const PeerAddress& peer) {
   const auto it = peer_slots_.find(peer);
-  if (it == peer_slots_.end() || !atBound(peers_[it->second])) return std::nullopt;
-  return oldest(peers_[it->second].resting, &Record::of_peer, now, now, RejectionReason::PeerQuota);
+  if (it == peer_slots_.end() || !overPeerLimit(peers_[it->second])) return std::nullopt;
+  return oldest(peers_[it->second].evictable, &Record::of_peer, now, now, RejectionReason::PeerQuota);
 }
 
-// The least useful first. Silent ones that had their chance; then what one address holds beyond its share;
-// then kept ones: where connections are not used again those that never were, else whoever has rested
-// longest, and those that have carried several requests last. Silent ones that are still protected come at
-// the very end, and those that have connected just now never: a client whose request is on its way would lose
-// it. In a crowd that says nothing no kept one goes for another of the crowd: there is room again as soon as
-// the protection is over.
-std::optional<ConnectionGate::Closing> ConnectionGate::evictionCandidate(Time now, Time rested) {
-  const Time before = now - rested;
+// The least useful connection first: silent ones past their grace period; then those of an address over its
+// share; then idle ones, longest idle first, with those that have carried only one request before those that
+// have carried several. Silent ones within their grace period come last, and those that were just accepted
+// are never evicted: a client whose request is in transit would lose it. In a connection flood no idle
+// connection is evicted in favour of a silent one, since there is room again as soon as the grace period is
+// over.
+std::optional<ConnectionGate::Closing> ConnectionGate::evictionCandidate(Time now, Time min_idle) {
+  const Time before = now - min_idle;
   const auto first = [&](const SlotList& list, Time since, RejectionReason reason) {
     return oldest(list, &Record::order, now, since, reason);
   };
   if (auto c = first(silent_, std::min(before, now - silentGrace()), RejectionReason::SilentEvicted))
     return c;
-  if (auto c = overShare(now, before)) return c;
-  if (crowded() && !silent_.empty()) return std::nullopt;
-  if (auto c = first(once_, before,
+  if (auto c = candidateOverShare(now, before)) return c;
+  if (connectionFlood() && !silent_.empty()) return std::nullopt;
+  if (auto c = first(idle_unreused_, before,
                      reuse_.keepsFewIdle() ? RejectionReason::UnusedEvicted : RejectionReason::IdleEvicted))
     return c;
-  if (auto c = first(used_, before, RejectionReason::IdleEvicted)) return c;
+  if (auto c = first(idle_reused_, before, RejectionReason::IdleEvicted)) return c;
   return first(silent_, before, RejectionReason::SilentEvicted);
 }
 
 void ConnectionGate::overdue(Time now, std::vector<Overdue>& out) {
   const Time to = now / kTick;
-  const Time from = std::max(swept_, to - static_cast<Time>(kBuckets) + 1);
+  const Time from = std::max(swept_tick_, to - static_cast<Time>(kBuckets) + 1);
   for (Time tick = from; tick <= to; ++tick) {
     const SlotList& bucket = wheel_[static_cast<std::size_t>(tick) % kBuckets];
-    for (Slot s = bucket.front(); s != kNoSlot; s = records_[s].wheel.after) {
+    for (Slot s = bucket.front(); s != kNoSlot; s = records_[s].wheel.next) {
       if (records_[s].due <= now) out.push_back({idOf(s), records_[s].state});
     }
   }
-  swept_ = to;
+  swept_tick_ = to;
 }
 
 RejectionReason ConnectionGate::reasonOf(State state) {
--- a/src/admission/duplicate_detector.cpp
+++ b/src/admission/duplicate_detector.cpp
@@ -6,36 +6,37 @@
 namespace client_proxy::admission {
 namespace {
 
-constexpr std::size_t kEntryCost = 200;  // beside its texts: two nodes, a place in line
+constexpr std::size_t kEntryCost = 200;  // bytes in addition to its strings: two map nodes and an expiry
 
 }  // namespace
 
-std::size_t DuplicateDetector::cost(const RequestRecord& t) {
-  return kEntryCost + 3 * t.id.size() + 2 * t.key.size();
+std::size_t DuplicateDetector::cost(const RequestRecord& record) {
+  return kEntryCost + 3 * record.id.size() + 2 * record.key.size();
 }
 
-const RequestRecord* DuplicateDetector::byKey(const std::string& key) const {
+const RequestRecord* DuplicateDetector::findByKey(const std::string& key) const {
   if (key.empty()) return nullptr;
-  const auto it = of_key_.find(key);
-  if (it == of_key_.end()) return nullptr;
-  const auto found = all_.find(it->second.front());
-  return found == all_.end() ? nullptr : &found->second.tried;
+  const auto it = ids_by_key_.find(key);
+  if (it == ids_by_key_.end()) return nullptr;
+  const auto found = entries_by_id_.find(it->second.front());
+  return found == entries_by_id_.end() ? nullptr : &found->second.record;
 }
 
 DuplicateDetector::Verdict DuplicateDetector::offer(Time now, RequestRecord request) {
   expire(now);
-  if (const auto it = all_.find(request.id); it != all_.end()) {
-    const RequestRecord& before = it->second.tried;
+  if (const auto it = entries_by_id_.find(request.id); it != entries_by_id_.end()) {
+    const RequestRecord& before = it->second.record;
     if (before.ended == 0) return Verdict::Open;
     if (!before.safe || !request.safe) return Verdict::MayHaveRun;
-    forget(request.id);
+    erase(request.id);
   }
-  if (const RequestRecord* const before = byKey(request.key)) {
-    // A client's own repeat, under an id of its own. Where every host drops it, it may run beside the first.
+  if (const RequestRecord* const before = findByKey(request.key)) {
+    // The client repeats the request under a new id. Where every host drops the repeat, it may be sent as
+    // well.
     const bool dropped =
         before->deduplication_window > 0 && now < before->began + before->deduplication_window;
     if (!dropped) return before->ended == 0 ? Verdict::Open : Verdict::MayHaveRun;
-    request.began = before->began;  // hosts count from the first
+    request.began = before->began;  // hosts count the window from the first request
   } else {
     request.began = now;
   }
@@ -45,73 +46,74 @@
 }
 
 RequestRecord DuplicateDetector::end(Time now, std::string_view id, bool may_have_run) {
-  const auto it = all_.find(std::string(id));
-  if (it == all_.end() || it->second.until != 0) return {};
-  RequestRecord tried = it->second.tried;
-  tried.ended = std::max<Time>(now, 1);
-  tried.never_ran = !may_have_run;
-  forget(tried.id);
-  // What may run any number of times needs no memory.
-  if (may_have_run && !tried.safe) keep(now, tried, now + limits_.kept);
-  return tried;
+  const auto it = entries_by_id_.find(std::string(id));
+  if (it == entries_by_id_.end() || it->second.until != 0) return {};
+  RequestRecord record = it->second.record;
+  record.ended = std::max<Time>(now, 1);
+  record.never_ran = !may_have_run;
+  erase(record.id);
+  // A safe request, or one that has not run, may be repeated and needs no record.
+  if (may_have_run && !record.safe) keep(now, record, now + limits_.kept);
+  return record;
 }
 
 std::vector<RequestRecord> DuplicateDetector::snapshot(Time now) const {
   std::vector<const Entry*> entries;
-  for (const auto& [id, entry] : all_) {
+  for (const auto& [id, entry] : entries_by_id_) {
     if (entry.until == 0 || entry.until > now) entries.push_back(&entry);
   }
   std::sort(entries.begin(), entries.end(), [](auto* a, auto* b) { return a->order < b->order; });
   std::vector<RequestRecord> out;
   out.reserve(entries.size());
-  for (const Entry* e : entries) out.push_back(e->tried);
+  for (const Entry* e : entries) out.push_back(e->record);
   return out;
 }
 
 void DuplicateDetector::restore(Time now, std::span<const RequestRecord> known) {
   expire(now);
-  for (RequestRecord t : known) {
-    if (t.id.empty() || t.began > now || t.ended > now) continue;  // of another clock
-    t.deduplication_window = std::clamp<Time>(t.deduplication_window, 0, limits_.kept);
-    const auto it = all_.find(t.id);
-    if (it != all_.end() && it->second.until == 0) continue;  // open here: this process knows best
-    if (it != all_.end()) forget(t.id);
-    if (t.ended != 0 && (t.never_ran || t.safe)) continue;
-    // One that is open there ends there, within the time that any request has; if that process is killed it
-    // may have run.
-    keep(now, std::move(t), now + limits_.kept);
+  for (RequestRecord record : known) {
+    if (record.id.empty() || record.began > now || record.ended > now) continue;  // from a different clock
+    record.deduplication_window = std::clamp<Time>(record.deduplication_window, 0, limits_.kept);
+    const auto it = entries_by_id_.find(record.id);
+    if (it != entries_by_id_.end() && it->second.until == 0)
+      continue;  // open here: the local record is authoritative
+    if (it != entries_by_id_.end()) erase(record.id);
+    if (record.ended != 0 && (record.never_ran || record.safe)) continue;
+    // A request that is open in the other process ends there within the time limit of any request. If that
+    // process is killed, the request may have run.
+    keep(now, std::move(record), now + limits_.kept);
   }
 }
 
-void DuplicateDetector::keep(Time now, RequestRecord tried, Time until) {
-  bytes_ += until != 0 ? cost(tried) : 0;
+void DuplicateDetector::keep(Time now, RequestRecord record, Time until) {
+  bytes_ += until != 0 ? cost(record) : 0;
   const std::uint64_t order = next_order_++;
-  if (!tried.key.empty()) of_key_[tried.key].push_back(tried.id);
-  if (until != 0) due_.push_back({until, order, tried.id});
-  const std::string id = tried.id;
-  all_[id] = {std::move(tried), until, order};
+  if (!record.key.empty()) ids_by_key_[record.key].push_back(record.id);
+  if (until != 0) expiries_.push_back({until, order, record.id});
+  const std::string id = record.id;
+  entries_by_id_[id] = {std::move(record), until, order};
   if (bytes_ > limits_.bytes) expire(now);
 }
 
-void DuplicateDetector::forget(const std::string& id) {
-  const auto it = all_.find(id);
-  if (it == all_.end()) return;
-  const RequestRecord& t = it->second.tried;
-  if (it->second.until != 0) bytes_ -= cost(t);
-  // Others of this key stay: one that never ran takes nothing from one that may have.
-  if (const auto k = of_key_.find(t.key); k != of_key_.end()) {
-    std::erase(k->second, id);
-    if (k->second.empty()) of_key_.erase(k);
+void DuplicateDetector::erase(const std::string& id) {
+  const auto it = entries_by_id_.find(id);
+  if (it == entries_by_id_.end()) return;
+  const RequestRecord& record = it->second.record;
+  if (it->second.until != 0) bytes_ -= cost(record);
+  // Other requests with this key stay recorded: one that never ran does not cancel one that may have.
+  if (const auto ids = ids_by_key_.find(record.key); ids != ids_by_key_.end()) {
+    std::erase(ids->second, id);
+    if (ids->second.empty()) ids_by_key_.erase(ids);
   }
-  all_.erase(it);
+  entries_by_id_.erase(it);
 }
 
 void DuplicateDetector::expire(Time now) {
-  while (!due_.empty() && (due_.front().until <= now || bytes_ > limits_.bytes)) {
-    const Due due = std::move(due_.front());
-    due_.pop_front();
-    const auto it = all_.find(due.id);
-    if (it != all_.end() && it->second.order == due.order) forget(due.id);
+  while (!expiries_.empty() && (expiries_.front().until <= now || bytes_ > limits_.bytes)) {
+    const Expiry expiry = std::move(expiries_.front());
+    expiries_.pop_front();
+    const auto it = entries_by_id_.find(expiry.id);
+    if (it != entries_by_id_.end() && it->second.order == expiry.order) erase(expiry.id);
   }
 }
 
--- a/src/admission/include/admission/index_registry.h
+++ b/src/admission/include/admission/index_registry.h
@@ -1,7 +1,8 @@
-// Names to small numbers that stay while anything goes by them. The decision module, the gates and the ledger
-// know classes and tenants by number; a reload may change what a name means while requests of it are in
-// flight, and these end under what they began with. So a changed definition gets another number, and a number
-// is given anew only when nothing is in flight under it. No I/O, no clock.
+// Assigns names small indices that stay valid while anything refers to them. The decision module, the gates
+// and the rejection counters know classes and tenants by index. A reload may change the definition of a name
+// while requests under it are in flight, and those must end under the definition that they started with. So a
+// changed definition gets a new index, and an index is reused only when nothing is in flight under it. No
+// I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -15,57 +16,58 @@
 
 namespace client_proxy::admission {
 
-// `Definition` is a value with ==.
+// `Definition` is a copyable type with operator==. Not thread-safe.
 template <typename Definition>
 class IndexRegistry {
  public:
-  using Named = std::vector<std::pair<std::string, Definition>>;  // no name twice
+  using Named = std::vector<std::pair<std::string, Definition>>;  // names must be distinct
 
-  // From now on names mean this. A name whose definition is as before keeps its number.
+  // Replaces the names and their definitions. A name with an unchanged definition keeps its index.
   void assign(const Named& named) {
-    std::map<std::string, std::int32_t, std::less<>> before = std::exchange(numbers_, {});
+    std::map<std::string, std::int32_t, std::less<>> previous = std::exchange(indices_, {});
     for (const auto& [name, definition] : named) {
-      const auto it = before.find(name);
-      if (it != before.end() && at(it->second) == definition) numbers_.emplace(name, it->second);
+      const auto it = previous.find(name);
+      if (it != previous.end() && at(it->second) == definition) indices_.emplace(name, it->second);
     }
     for (Entry& e : entries_) e.current = false;
-    for (const auto& [name, number] : numbers_) entries_[static_cast<std::size_t>(number)].current = true;
+    for (const auto& [name, index] : indices_) entries_[static_cast<std::size_t>(index)].current = true;
     for (const auto& [name, definition] : named) {
-      if (numbers_.count(name) == 0) numbers_.emplace(name, take(name, definition));
+      if (indices_.count(name) == 0) indices_.emplace(name, allocate(name, definition));
     }
   }
 
   std::optional<std::int32_t> find(std::string_view name) const {
-    const auto it = numbers_.find(name);
-    return it == numbers_.end() ? std::nullopt : std::optional(it->second);
+    const auto it = indices_.find(name);
+    return it == indices_.end() ? std::nullopt : std::optional(it->second);
   }
-  // Numbers in all, from 0: what tables by number must hold.
+  // The number of indices, counted from 0: the required size of tables by index.
   std::size_t size() const { return entries_.size(); }
-  // Also of a number that no name means any more: what it meant last.
-  const Definition& at(std::int32_t number) const {
-    return entries_[static_cast<std::size_t>(number)].definition;
+  // For an index that no name refers to any more, its last definition.
+  const Definition& at(std::int32_t index) const {
+    return entries_[static_cast<std::size_t>(index)].definition;
   }
-  const std::string& name(std::size_t number) const { return entries_[number].name; }
-  bool current(std::size_t number) const { return entries_[number].current; }
+  const std::string& name(std::size_t index) const { return entries_[index].name; }
+  bool current(std::size_t index) const { return entries_[index].current; }
 
-  // Something is in flight under it, or no longer. Less than 0 (not known) is passed over.
-  void acquire(std::int32_t number) {
-    if (number >= 0) ++entries_[static_cast<std::size_t>(number)].used;
+  // Counts what is in flight under an index. A negative index (unknown) is ignored.
+  void acquire(std::int32_t index) {
+    if (index >= 0) ++entries_[static_cast<std::size_t>(index)].in_flight;
   }
-  void release(std::int32_t number) {
-    if (number >= 0) --entries_[static_cast<std::size_t>(number)].used;
+  void release(std::int32_t index) {
+    if (index >= 0) --entries_[static_cast<std::size_t>(index)].in_flight;
   }
 
  private:
   struct Entry {
     std::string name;
     Definition definition;
-    std::size_t used = 0;
+    std::size_t in_flight = 0;
     bool current = true;
   };
 
-  // One that meant the same before is taken up again; else one that is free; else a new one.
-  std::int32_t take(const std::string& name, const Definition& definition) {
+  // Chooses an index that had the same name and definition before, else one that is not in use, else a new
+  // one.
+  std::int32_t allocate(const std::string& name, const Definition& definition) {
     for (std::size_t i = 0; i < entries_.size(); ++i) {
       Entry& e = entries_[i];
       if (e.current || e.name != name || !(e.definition == definition)) continue;
@@ -73,7 +75,7 @@
       return static_cast<std::int32_t>(i);
     }
     for (std::size_t i = 0; i < entries_.size(); ++i) {
-      if (entries_[i].current || entries_[i].used > 0) continue;
+      if (entries_[i].current || entries_[i].in_flight > 0) continue;
       entries_[i] = {name, definition, 0, true};
       return static_cast<std::int32_t>(i);
     }
@@ -82,7 +84,7 @@
   }
 
   std::vector<Entry> entries_;
-  std::map<std::string, std::int32_t, std::less<>> numbers_;
+  std::map<std::string, std::int32_t, std::less<>> indices_;
 };
 
 }  // namespace client_proxy::admission
--- a/src/admission/include/admission/rejection_counters.h
+++ b/src/admission/include/admission/rejection_counters.h
@@ -1,4 +1,4 @@
-// What admission decided, counted by cause, class and tenant. No I/O, no clock.
+// Counters of rejections by reason, request class and tenant. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,8 @@
 
 namespace client_proxy::admission {
 
-// A class or tenant that is not known is counted as the last, "other".
+// Classes and tenants are numbered from 0. An unknown one is counted under an additional last index, "other".
+// Not thread-safe.
 class RejectionCounters {
  public:
   RejectionCounters(std::size_t classes, std::size_t tenants)
@@ -24,22 +25,22 @@
     ++counts_[at(reason, indexOrLast(cls, classes_), indexOrLast(tenant, tenants_))];
     ++totals_[static_cast<std::size_t>(reason)];
   }
-  // Room for more of them; what was counted stays where it belongs.
+  // Extends the number of classes and tenants, never reduces it. Existing counts keep their class and tenant.
   void grow(std::size_t classes, std::size_t tenants) {
     RejectionCounters grown(std::max(classes, classes_ - 1), std::max(tenants, tenants_ - 1));
-    const auto moved = [](std::size_t i, std::size_t before, std::size_t now) {
+    const auto remap = [](std::size_t i, std::size_t before, std::size_t now) {
       return i + 1 == before ? now - 1 : i;
     };
     for (std::size_t reason = 0; reason < kRejectionReasons; ++reason) {
       for (std::size_t c = 0; c < classes_; ++c) {
         for (std::size_t t = 0; t < tenants_; ++t)
-          grown.counts_[grown.at(static_cast<RejectionReason>(reason), moved(c, classes_, grown.classes_),
-                                 moved(t, tenants_, grown.tenants_))] =
+          grown.counts_[grown.at(static_cast<RejectionReason>(reason), remap(c, classes_, grown.classes_),
+                                 remap(t, tenants_, grown.tenants_))] =
               counts_[at(static_cast<RejectionReason>(reason), c, t)];
       }
     }
     grown.totals_ = totals_;
-    grown.told_ = told_;
+    grown.reported_ = reported_;
     *this = std::move(grown);
   }
   std::uint64_t total(RejectionReason reason) const { return totals_[static_cast<std::size_t>(reason)]; }
@@ -49,17 +50,19 @@
   std::size_t classes() const { return classes_; }
   std::size_t tenants() const { return tenants_; }
 
-  // "12 open_full, 3 too_late": what came since the last call, let in not counted; empty if nothing did.
+  // The rejections since the last call by reason, such as "12 open_full, 3 too_late"; empty if there were
+  // none. `also`: running totals that are kept elsewhere and reported together with these.
   std::string summarySinceLast(const std::array<std::uint64_t, kRejectionReasons>& also = {}) {
-    std::string news;
+    std::string summary;
     for (std::size_t c = 1; c < kRejectionReasons; ++c) {
       const std::uint64_t now = totals_[c] + also[c];
-      if (now == told_[c]) continue;
-      if (!news.empty()) news += ", ";
-      news += std::to_string(now - told_[c]) + ' ' + std::string(nameOf(static_cast<RejectionReason>(c)));
-      told_[c] = now;
+      if (now == reported_[c]) continue;
+      if (!summary.empty()) summary += ", ";
+      summary +=
+          std::to_string(now - reported_[c]) + ' ' + std::string(nameOf(static_cast<RejectionReason>(c)));
+      reported_[c] = now;
     }
-    return news;
+    return summary;
   }
 
  private:
@@ -69,7 +72,7 @@
 
   std::size_t classes_, tenants_;
   std::vector<std::uint64_t> counts_;
-  std::array<std::uint64_t, kRejectionReasons> totals_{}, told_{};
+  std::array<std::uint64_t, kRejectionReasons> totals_{}, reported_{};
 };
 
 }  // namespace client_proxy::admission
--- a/src/admission/include/admission/rejection_reason.h
+++ b/src/admission/include/admission/rejection_reason.h
@@ -1,5 +1,5 @@
-// Why a client got nothing, or lost its connection: the closed list of causes that admission gives. Each has
-// one name, which the log, the operators' page and docs/admission.md use.
+// The reasons for which admission refuses a request or closes a connection. Each has one name, which is used
+// by the log, the operators' page and docs/admission.md.
 #pragma once
 
 #include <array>
@@ -11,44 +11,45 @@
 
 using Time = std::int64_t;  // microseconds, as in load_balancer/balancer.h
 
-// Classes and tenants go by index. One that is not known (-1, or beyond the last) is the last of `count`.
+// Maps the index of a class or tenant into a table of `count` entries, of which the last is for unknown ones:
+// -1 or beyond the table.
 constexpr std::size_t indexOrLast(std::int32_t index, std::size_t count) {
   const auto i = static_cast<std::size_t>(index);
   return index < 0 || i >= count ? count - 1 : i;
 }
 
 enum class RejectionReason : std::uint8_t {
-  None,  // let in, or kept
-  // A connection was closed.
-  FirstByteTimeout,  // it never said anything within its time
-  SilentEvicted,     // it had said nothing yet, and room was needed
-  IdleTimeout,       // no request for the time that one is kept
-  IdleEvicted,       // it rested, and room was needed
-  UnusedEvicted,     // it rested after its only request where connections are not used again, and room was
-                     // needed
-  NotReused,         // closed with its answer: clients do not use kept connections again
-  PeerQuota,         // its address held more than its share, and room was needed
-  RequestTimeout,    // a request did not come whole in time
-  ResponseWriteTimeout,  // the client did not take its answer in time
-  ResponseTruncated,     // its host broke a long answer off
-  LingerTimeout,         // the client did not end its sending in time
-  Shutdown,              // the proxy stops
-  HandedOver,            // the process that takes this one's place has it now
-  // A request was refused before it was sent anywhere.
-  ConnectionLimit,      // it came on a connection beyond the bound
-  ConcurrencyLimit,     // the bound on open requests, and no place to wait
-  MemoryLimit,          // the bound on the bytes of requests, and no place to wait
-  ClassLimit,           // its class is at its own bound or share
-  TenantLimit,          // its tenant is at its own bound or share
-  DeadlineUnreachable,  // it would wait for a place until it can't be answered in time
-  EvictedFromQueue,     // it waited, and gave its place to a class or tenant that has fewer waiting
-  RetryBudget,          // a client's marked retry beyond the budget for retries
-  BodyMemory,           // no memory for its body in time
-  NoLease,              // one site alone may run it, and which is not proven just now (docs/ownership.md)
-  StagedRestart,        // the proxy comes back from a power cut, and may not serve it yet (docs/recovery.md)
+  None,  // the request is admitted, or the connection is kept
+  // Reasons for closing a connection.
+  FirstByteTimeout,  // no first byte within its time limit
+  SilentEvicted,     // no first byte yet, and room was needed
+  IdleTimeout,       // no further request within the idle time limit
+  IdleEvicted,       // idle, and room was needed
+  UnusedEvicted,   // idle after its only request while clients do not reuse connections, and room was needed
+  NotReused,       // closed with its response because clients do not reuse idle connections
+  PeerQuota,       // its address held more than its share, and room was needed
+  RequestTimeout,  // a request was not received completely in time
+  ResponseWriteTimeout,  // the client did not read its response in time
+  ResponseTruncated,     // the host aborted a long response
+  LingerTimeout,         // the client did not stop sending in time after a closing response
+  Shutdown,              // the proxy is stopping
+  HandedOver,            // transferred to the process that replaces this one
+  // Reasons for refusing a request that has not been sent to any host.
+  ConnectionLimit,      // it came on a connection beyond the connection limit
+  ConcurrencyLimit,     // the limit on open requests is reached and the queue is full
+  MemoryLimit,          // the limit on the bytes of open requests is reached and the queue is full
+  ClassLimit,           // its class is at its own limit or share
+  TenantLimit,          // its tenant is at its own limit or share
+  DeadlineUnreachable,  // it would wait for a place until it can no longer be answered in time
+  EvictedFromQueue,     // it was queued and lost its place to a class or tenant with fewer queued requests
+  RetryBudget,          // marked by the client as a retry, and beyond the budget for retries
+  BodyMemory,           // no memory for its body became available in time
+  NoLease,        // only one site may run it, and which one is not proven at present (docs/ownership.md)
+  StagedRestart,  // the proxy is recovering from a power loss and may not serve it yet (docs/recovery.md)
 };
 constexpr std::size_t kRejectionReasons = static_cast<std::size_t>(RejectionReason::StagedRestart) + 1;
 
+// The name that operators see in the log and on the operators' page.
 constexpr std::string_view nameOf(RejectionReason reason) {
   constexpr std::array<std::string_view, kRejectionReasons> kNames = {"none",
                                                                       "silent_overdue",
--- a/src/admission/include/admission/requests.h
+++ b/src/admission/include/admission/requests.h
@@ -1,9 +1,9 @@
-// Which requests are let in, which wait for a place, which are turned away and why. Events in, verdicts out:
-// no I/O, no clock. It stands before the decision module: what it turns away was never sent anywhere, so that
-// a refusal is harmless for every class.
+// Decides which requests are admitted, which are queued and which are refused, and for what reason. Events
+// come in, decisions go out: no I/O, no clock. The gate comes before the decision module: a refused request
+// was never sent to any host, so that a refusal is harmless for every class.
 //
-// Times are microseconds of one clock. Not thread-safe. A verdict costs a few map operations in the number of
-// requests that wait; a released place, one pass over the pairs of class and tenant that wait.
+// Times are microseconds of one clock. Not thread-safe. A decision costs a few map operations in the number
+// of queued requests; a release costs one pass over the pairs of class and tenant that have queued requests.
 #pragma once
 
 #include <array>
@@ -26,83 +26,90 @@
 struct AdmissionRequest {
   RequestKey id = 0;
   std::int32_t request_class = 0;
-  std::int32_t tenant = -1;  // -1: not known
-  std::size_t bytes = 0;     // that it holds while it is open
-  Time deadline = 0;         // when its client gives up
-  bool retry = false;        // the client marked it as its own repeat
+  std::int32_t tenant = -1;  // -1: unknown
+  std::size_t bytes = 0;     // of memory that it holds while it is open
+  Time deadline = 0;         // when its client stops waiting
+  bool retry = false;        // marked by the client as a retry
 };
 
 enum class AdmissionOutcome : std::uint8_t { Admitted, Queued, Refused };
 
+// The decision on a request that was offered.
 struct Verdict {
   AdmissionOutcome outcome = AdmissionOutcome::Admitted;
-  RejectionReason reason = RejectionReason::None;  // where refused
+  RejectionReason reason = RejectionReason::None;  // if refused
 };
 
+// A queued request that is refused.
 struct Refusal {
   RequestKey id = 0;
   RejectionReason reason = RejectionReason::None;
 };
 
+// The admission control of requests. A place is held from admission to release().
 class RequestGate {
  public:
-  // What one class or one tenant may have of the places.
+  // The share of the places of one class or one tenant.
   struct Share {
-    std::size_t guaranteed = 0;  // kept free for it
+    std::size_t guaranteed = 0;  // places that are kept free for it
     std::size_t most = kNoBound;
-    double weight = 1;  // of those that wait, the one with the fewest open for its weight is next
+    double weight = 1;  // the queued request whose group has the fewest open requests per weight is next
   };
   struct Limits {
     std::size_t open = kNoBound;
-    std::size_t bytes = kNoBound;  // of all open requests; a single one may exceed it
-    std::size_t waiting = 0;
-    std::vector<Share> classes = {};  // by index; those beyond the end share the default
+    std::size_t bytes = kNoBound;     // of all open requests; a single request may exceed it
+    std::size_t waiting = 0;          // length of the queue
+    std::vector<Share> classes = {};  // by index; all beyond the end share one default group
     std::vector<Share> tenants = {};
-    std::size_t retries_least = kNoBound;    // client-marked retries that may be open or wait in any case
-    double retries_part = 1;                 // and as a part of the open first tries
-    Time advice_least = 0, advice_most = 0;  // what a refused client is told to wait; 0: nothing
+    std::size_t retries_least = kNoBound;    // client-marked retries that may be open or queued in any case
+    double retries_part = 1;                 // or, if more, this fraction of the open first attempts
+    Time advice_least = 0, advice_most = 0;  // bounds of retryAfter(); 0: no advice
   };
 
-  // Throws std::invalid_argument if guarantees exceed the bound or a weight is not above 0.
+  // Throws std::invalid_argument if guarantees exceed a limit, a weight is not above 0 or `retries_part` is
+  // below 0.
   explicit RequestGate(Limits limits);
-  // The bounds are others from now on: for what comes, and for what waits; what is open stays open. Classes
-  // and tenants may become more. Throws like the constructor, and then nothing has changed. Then next() is
-  // due.
+  // Replaces the limits for new and queued requests; open requests stay open. The number of classes and
+  // tenants may grow. Throws like the constructor, and then leaves the gate unchanged. The caller must call
+  // next() afterwards.
   void reconfigure(Limits limits);
 
-  // A request's head has come: the cause for which it would be refused if it were whole, or none. Spares
-  // reading a body for nothing.
-  RejectionReason checkHead(const AdmissionRequest& ask) const;
-  // A whole request asks for a place. To make room in the queue it may displace others, appended to
+  // A request's head has arrived: the reason for which the complete request would be refused at present, or
+  // None. Avoids reading a body in vain.
+  RejectionReason checkHead(const AdmissionRequest& request) const;
+  // A complete request requires a place. It may displace other requests from the queue, which are appended to
   // `refused`.
-  Verdict offer(Time now, const AdmissionRequest& ask, std::vector<Refusal>& refused);
-  // A request was refused by its head, for whatever cause: it counts for advice().
+  Verdict offer(Time now, const AdmissionRequest& request, std::vector<Refusal>& refused);
+  // Records that a request was refused on its head, for any reason; it counts for retryAfter().
   void noteRefused(Time now);
-  // The request has its answer, or its client has gone, open or waiting. Then next() is due.
+  // The open or queued request has been answered, or its client has disconnected. The caller must call next()
+  // afterwards.
   void release(Time now, RequestKey id);
-  // Who of those that wait is let in now, in order, and who can't be answered in time any more.
+  // Appends the queued requests that are admitted now, in order, and those that can no longer be answered in
+  // time.
   void next(Time now, std::vector<RequestKey>& admitted, std::vector<Refusal>& refused);
-  // When next() is to be called at the latest; the largest time if nobody waits.
+  // When next() must be called at the latest; the maximum if the queue is empty.
   Time due() const;
-  // How long a client that is refused now should stay away: longer, the more are refused for each let in.
+  // How long a client that is refused now should wait before it retries, in microseconds. Grows with the
+  // ratio of recently refused to admitted requests, from `advice_least` up to `advice_most`.
   Time retryAfter(Time now);
 
   std::size_t open() const { return open_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
   std::size_t bytes() const { return bytes_; }
   std::size_t retries() const { return retries_; }
-  std::size_t openOfClass(std::int32_t cls) const { return part(classes_, cls).open; }
-  std::size_t openOfTenant(std::int32_t tenant) const { return part(tenants_, tenant).open; }
+  std::size_t openOfClass(std::int32_t cls) const { return groupOf(classes_, cls).open; }
+  std::size_t openOfTenant(std::int32_t tenant) const { return groupOf(tenants_, tenant).open; }
   const Limits& limits() const { return limits_; }
 
  private:
-  struct Part {  // a class or a tenant
+  struct Group {  // a class or a tenant
     Share share;
     std::size_t open = 0;
   };
-  struct Parts {
-    std::vector<Part> all;  // the last: whoever is not known
-    std::size_t unmet = 0;  // places that are guaranteed and not used
+  struct Groups {
+    std::vector<Group> all;             // the last: all unknown ones
+    std::size_t unused_guarantees = 0;  // guaranteed places that are not in use
   };
   struct Open {
     std::int32_t request_class, tenant;
@@ -111,42 +118,45 @@
     bool retry;
   };
   struct Waiting {
-    AdmissionRequest ask;
-    Time latest;  // when it must have begun
+    AdmissionRequest request;
+    Time latest_start;  // when it must be admitted to be answered in time
   };
-  using Pair = std::pair<std::int32_t, std::int32_t>;  // class and tenant
-  using Line = std::set<std::pair<Time, RequestKey>>;  // who waits, by deadline
-
-  static Parts partsOf(const std::vector<Share>& shares, std::size_t places, const char* what);
-  static std::size_t place(const Parts& parts, std::int32_t index);
-  static const Part& part(const Parts& parts, std::int32_t index) { return parts.all[place(parts, index)]; }
-  static void count(Parts& parts, std::int32_t index, bool in);
-  RejectionReason blockedBy(const Parts& parts, std::int32_t index, RejectionReason own) const;
-  RejectionReason blocked(const AdmissionRequest& ask) const;
-  bool overRetries(const AdmissionRequest& ask) const;
-  Pair pairOf(const AdmissionRequest& ask) const;
-  double weightOf(const Pair& pair) const;
-  void admit(Time now, const AdmissionRequest& ask);
-  void enqueue(const AdmissionRequest& ask);
-  void leaveLine(RequestKey id);
-  const AdmissionRequest* pickNext() const;
-  const Pair* longestLine() const;
-  Time usual(std::int32_t cls) const { return usual_[place(classes_, cls)]; }
+  using ClassAndTenant = std::pair<std::int32_t, std::int32_t>;  // indices of the class and the tenant
+  using Queue = std::set<std::pair<Time, RequestKey>>;  // of queued requests by time, the earliest first
+
+  static Groups groupsOf(const std::vector<Share>& shares, std::size_t limit, const char* kind);
+  static std::size_t indexOf(const Groups& groups, std::int32_t index);
+  static const Group& groupOf(const Groups& groups, std::int32_t index) {
+    return groups.all[indexOf(groups, index)];
+  }
+  static void count(Groups& groups, std::int32_t index, bool opened);
+  RejectionReason groupBlockReason(const Groups& groups, std::int32_t index,
+                                   RejectionReason own_reason) const;
+  RejectionReason blockReason(const AdmissionRequest& request) const;
+  bool overRetryBudget(const AdmissionRequest& request) const;
+  ClassAndTenant classAndTenantOf(const AdmissionRequest& request) const;
+  double weightOf(const ClassAndTenant& pair) const;
+  void admit(Time now, const AdmissionRequest& request);
+  void enqueue(const AdmissionRequest& request);
+  void dequeue(RequestKey id);
+  const AdmissionRequest* nextQueued() const;
+  const ClassAndTenant* longestQueue() const;
+  Time typicalDuration(std::int32_t cls) const { return typical_duration_[indexOf(classes_, cls)]; }
   Time expectedWait() const;
-  void fade(Time now);
+  void decay(Time now);
 
   Limits limits_;
-  Parts classes_, tenants_;
+  Groups classes_, tenants_;
   std::unordered_map<RequestKey, Open> open_;
   std::unordered_map<RequestKey, Waiting> waiting_;
-  std::map<Pair, Line> lines_;
-  Line by_latest_;
+  std::map<ClassAndTenant, Queue> queues_;
+  Queue by_latest_start_;
   std::size_t bytes_ = 0, retries_ = 0, waiting_retries_ = 0;
-  std::vector<Time> usual_;  // by class: how long one is open, averaged
-  double gap_ = 0;           // between two released places while others wait, averaged
-  Time released_ = 0;
-  double let_in_ = 0, turned_away_ = 0;  // of late
-  Time faded_ = 0;
+  std::vector<Time> typical_duration_;  // by class: moving average of the time that a request is open
+  double release_interval_ = 0;  // moving average of the time between two releases while requests are queued
+  Time last_release_ = 0;
+  double recent_admitted_ = 0, recent_refused_ = 0;  // decaying counts, see decay()
+  Time decayed_at_ = 0;
 };
 
 }  // namespace client_proxy::admission
--- a/src/admission/include/admission/slot_list.h
+++ b/src/admission/include/admission/slot_list.h
@@ -1,5 +1,5 @@
-// Doubly linked lists through records that lie in a vector: no allocation for a place in a list, and records
-// may move when the vector grows. A record has one Hook for each list that it can be in at the same time.
+// Doubly linked lists of records that are stored in a vector. Linking allocates nothing, and the records may
+// move when the vector grows. A record has one Hook for each list that it can be in at the same time.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +8,14 @@
 
 namespace client_proxy::admission {
 
-using Slot = std::uint32_t;
+using Slot = std::uint32_t;  // index of a record
 constexpr Slot kNoSlot = UINT32_MAX;
 
 struct Hook {
-  Slot before = kNoSlot, after = kNoSlot;
+  Slot previous = kNoSlot, next = kNoSlot;
 };
 
+// A list whose links are the records' member `hook`. Every call must pass the same vector and the same hook.
 class SlotList {
  public:
   Slot front() const { return front_; }
@@ -23,17 +24,17 @@
 
   template <typename Record>
   void pushBack(std::vector<Record>& records, Hook Record::*hook, Slot slot) {
-    records[slot].*hook = {.before = back_, .after = kNoSlot};
-    (back_ == kNoSlot ? front_ : (records[back_].*hook).after) = slot;
+    records[slot].*hook = {.previous = back_, .next = kNoSlot};
+    (back_ == kNoSlot ? front_ : (records[back_].*hook).next) = slot;
     back_ = slot;
     ++size_;
   }
 
   template <typename Record>
   void remove(std::vector<Record>& records, Hook Record::*hook, Slot slot) {
-    const Hook at = records[slot].*hook;
-    (at.before == kNoSlot ? front_ : (records[at.before].*hook).after) = at.after;
-    (at.after == kNoSlot ? back_ : (records[at.after].*hook).before) = at.before;
+    const Hook removed = records[slot].*hook;
+    (removed.previous == kNoSlot ? front_ : (records[removed.previous].*hook).next) = removed.next;
+    (removed.next == kNoSlot ? back_ : (records[removed.next].*hook).previous) = removed.previous;
     --size_;
   }
 
--- a/src/admission/requests.cpp
+++ b/src/admission/requests.cpp
@@ -8,18 +8,18 @@
 namespace client_proxy::admission {
 namespace {
 
-constexpr double kUsualWeight = 0.1;  // the last ten or so answers of a class
-constexpr double kGapWeight = 0.1;
-constexpr double kAdviceHalves = 1e6;  // microseconds: refusals of the last seconds count
+constexpr double kDurationWeight = 0.1;  // a moving average over about ten requests of a class
+constexpr double kIntervalWeight = 0.1;
+constexpr double kAdviceHalfLife = 1e6;  // microseconds, so that the refusals of the last seconds count
 
 }  // namespace
 
 RequestGate::RequestGate(Limits limits)
     : limits_(std::move(limits)),
-      classes_(partsOf(limits_.classes, limits_.open, "classes")),
-      tenants_(partsOf(limits_.tenants, limits_.open, "tenants")),
-      usual_(classes_.all.size()) {
-  if (!(limits_.retries_part >= 0)) throw std::invalid_argument("retries: the part is below 0");
+      classes_(groupsOf(limits_.classes, limits_.open, "classes")),
+      tenants_(groupsOf(limits_.tenants, limits_.open, "tenants")),
+      typical_duration_(classes_.all.size()) {
+  if (!(limits_.retries_part >= 0)) throw std::invalid_argument("retries: the fraction is below 0");
 }
 
 void RequestGate::reconfigure(Limits limits) {
@@ -28,178 +28,188 @@
     count(fresh.classes_, o.request_class, true);
     count(fresh.tenants_, o.tenant, true);
   }
-  // The last is whoever is not known, wherever that is now.
-  const std::size_t kept = std::min(usual_.size(), fresh.usual_.size()) - 1;
-  std::copy_n(usual_.begin(), kept, fresh.usual_.begin());
-  fresh.usual_.back() = usual_.back();
+  // The last entry is for unknown classes, whatever its index is now.
+  const std::size_t kept = std::min(typical_duration_.size(), fresh.typical_duration_.size()) - 1;
+  std::copy_n(typical_duration_.begin(), kept, fresh.typical_duration_.begin());
+  fresh.typical_duration_.back() = typical_duration_.back();
   limits_ = std::move(fresh.limits_);
   classes_ = std::move(fresh.classes_);
   tenants_ = std::move(fresh.tenants_);
-  usual_ = std::move(fresh.usual_);
-  lines_.clear();
-  for (const auto& [id, w] : waiting_) lines_[pairOf(w.ask)].insert({w.ask.deadline, id});
+  typical_duration_ = std::move(fresh.typical_duration_);
+  queues_.clear();
+  for (const auto& [id, w] : waiting_) queues_[classAndTenantOf(w.request)].insert({w.request.deadline, id});
 }
 
-RequestGate::Parts RequestGate::partsOf(const std::vector<Share>& shares, std::size_t places,
-                                        const char* what) {
-  Parts parts;
+RequestGate::Groups RequestGate::groupsOf(const std::vector<Share>& shares, std::size_t limit,
+                                          const char* kind) {
+  Groups groups;
   for (const Share& share : shares) {
-    if (!(share.weight > 0)) throw std::invalid_argument(std::string(what) + ": a weight is not above 0");
+    if (!(share.weight > 0)) throw std::invalid_argument(std::string(kind) + ": a weight is not above 0");
     if (share.guaranteed > share.most)
-      throw std::invalid_argument(std::string(what) + ": more is guaranteed than allowed");
-    if (share.guaranteed > places - std::min(places, parts.unmet))
-      throw std::invalid_argument(std::string(what) + ": more is guaranteed in all than there are places");
-    parts.unmet += share.guaranteed;
-    parts.all.push_back({share, 0});
+      throw std::invalid_argument(std::string(kind) + ": a guarantee exceeds the maximum");
+    if (share.guaranteed > limit - std::min(limit, groups.unused_guarantees))
+      throw std::invalid_argument(std::string(kind) + ": the guarantees exceed the number of places");
+    groups.unused_guarantees += share.guaranteed;
+    groups.all.push_back({share, 0});
   }
-  parts.all.emplace_back();
-  return parts;
+  groups.all.emplace_back();
+  return groups;
 }
 
-std::size_t RequestGate::place(const Parts& parts, std::int32_t index) {
-  return indexOrLast(index, parts.all.size());
+std::size_t RequestGate::indexOf(const Groups& groups, std::int32_t index) {
+  return indexOrLast(index, groups.all.size());
 }
 
-void RequestGate::count(Parts& parts, std::int32_t index, bool in) {
-  Part& p = parts.all[place(parts, index)];
-  if (!in) --p.open;
-  if (p.open < p.share.guaranteed) in ? --parts.unmet : ++parts.unmet;
-  if (in) ++p.open;
+void RequestGate::count(Groups& groups, std::int32_t index, bool opened) {
+  Group& group = groups.all[indexOf(groups, index)];
+  if (!opened) --group.open;
+  if (group.open < group.share.guaranteed) opened ? --groups.unused_guarantees : ++groups.unused_guarantees;
+  if (opened) ++group.open;
 }
 
-// Whoever is below what it is guaranteed always finds a place: the others leave as many free as are
-// guaranteed and not used, so that used places and these together never exceed the bound.
-RejectionReason RequestGate::blockedBy(const Parts& parts, std::int32_t index, RejectionReason own) const {
-  const Part& p = part(parts, index);
-  if (p.open < p.share.guaranteed) return RejectionReason::None;
-  if (p.open >= p.share.most) return own;
-  return parts.unmet > 0 && limits_.open - open_.size() <= parts.unmet ? own : RejectionReason::None;
+// A group below its guarantee always finds a place: the other groups leave as many places free as are
+// guaranteed and not in use, so that the places in use and these together never exceed the limit.
+RejectionReason RequestGate::groupBlockReason(const Groups& groups, std::int32_t index,
+                                              RejectionReason own_reason) const {
+  const Group& group = groupOf(groups, index);
+  if (group.open < group.share.guaranteed) return RejectionReason::None;
+  if (group.open >= group.share.most) return own_reason;
+  return groups.unused_guarantees > 0 && limits_.open - open_.size() <= groups.unused_guarantees
+             ? own_reason
+             : RejectionReason::None;
 }
 
-RejectionReason RequestGate::blocked(const AdmissionRequest& ask) const {
+RejectionReason RequestGate::blockReason(const AdmissionRequest& request) const {
   if (open_.size() >= limits_.open) return RejectionReason::ConcurrencyLimit;
-  // One alone may exceed the bound: it would never be let in otherwise.
-  if (!open_.empty() && ask.bytes > limits_.bytes - std::min(limits_.bytes, bytes_))
+  // A single request may exceed the limit: otherwise it could never be admitted.
+  if (!open_.empty() && request.bytes > limits_.bytes - std::min(limits_.bytes, bytes_))
     return RejectionReason::MemoryLimit;
-  const RejectionReason by_class = blockedBy(classes_, ask.request_class, RejectionReason::ClassLimit);
-  return by_class != RejectionReason::None ? by_class
-                                           : blockedBy(tenants_, ask.tenant, RejectionReason::TenantLimit);
+  const RejectionReason by_class =
+      groupBlockReason(classes_, request.request_class, RejectionReason::ClassLimit);
+  return by_class != RejectionReason::None
+             ? by_class
+             : groupBlockReason(tenants_, request.tenant, RejectionReason::TenantLimit);
 }
 
-// Clients' own repeats: a part of the work, as Envoy bounds its own. After an outage everybody repeats at
-// once, and first tries must find room beside that.
-bool RequestGate::overRetries(const AdmissionRequest& ask) const {
-  if (!ask.retry) return false;
+// Limits the requests that clients mark as retries to a fraction of the open ones, as Envoy's retry budget
+// does. After an outage all clients retry at once, and first attempts must find room as well.
+bool RequestGate::overRetryBudget(const AdmissionRequest& request) const {
+  if (!request.retry) return false;
   const std::size_t held = retries_ + waiting_retries_;
-  const auto part = limits_.retries_part * static_cast<double>(open_.size() - retries_);
-  return held >= limits_.retries_least && static_cast<double>(held) >= part;
+  const auto allowed = limits_.retries_part * static_cast<double>(open_.size() - retries_);
+  return held >= limits_.retries_least && static_cast<double>(held) >= allowed;
 }
 
-RequestGate::Pair RequestGate::pairOf(const AdmissionRequest& ask) const {
-  return {static_cast<std::int32_t>(place(classes_, ask.request_class)),
-          static_cast<std::int32_t>(place(tenants_, ask.tenant))};
+RequestGate::ClassAndTenant RequestGate::classAndTenantOf(const AdmissionRequest& request) const {
+  return {static_cast<std::int32_t>(indexOf(classes_, request.request_class)),
+          static_cast<std::int32_t>(indexOf(tenants_, request.tenant))};
 }
 
-double RequestGate::weightOf(const Pair& pair) const {
-  return part(classes_, pair.first).share.weight * part(tenants_, pair.second).share.weight;
+double RequestGate::weightOf(const ClassAndTenant& pair) const {
+  return groupOf(classes_, pair.first).share.weight * groupOf(tenants_, pair.second).share.weight;
 }
 
-// About how long whoever comes last waits.
+// Estimates how long a request waits that joins the queue now.
 Time RequestGate::expectedWait() const {
-  return static_cast<Time>(gap_ * static_cast<double>(waiting_.size() + 1));
+  return static_cast<Time>(release_interval_ * static_cast<double>(waiting_.size() + 1));
 }
 
-const RequestGate::Pair* RequestGate::longestLine() const {
-  const Pair* longest = nullptr;
+const RequestGate::ClassAndTenant* RequestGate::longestQueue() const {
+  const ClassAndTenant* longest = nullptr;
   double most = 0;
-  for (const auto& [pair, line] : lines_) {
-    const double length = static_cast<double>(line.size()) / weightOf(pair);
+  for (const auto& [pair, queue] : queues_) {
+    const double length = static_cast<double>(queue.size()) / weightOf(pair);
     if (length > most) most = length, longest = &pair;
   }
   return longest;
 }
 
-RejectionReason RequestGate::checkHead(const AdmissionRequest& ask) const {
-  if (overRetries(ask)) return RejectionReason::RetryBudget;
-  const RejectionReason reason = blocked(ask);
+RejectionReason RequestGate::checkHead(const AdmissionRequest& request) const {
+  if (overRetryBudget(request)) return RejectionReason::RetryBudget;
+  const RejectionReason reason = blockReason(request);
   if (reason == RejectionReason::None || waiting_.size() < limits_.waiting) return RejectionReason::None;
   if (limits_.waiting == 0) return reason;
-  // The queue is full: only a line that is shorter than the longest gets a place in it.
-  const Pair own = pairOf(ask), longest = *longestLine();
-  const auto it = lines_.find(own);
-  const double mine = static_cast<double>(it == lines_.end() ? 1 : it->second.size() + 1) / weightOf(own);
-  return mine <= static_cast<double>(lines_.at(longest).size() - 1) / weightOf(longest)
+  // The queue is full: the request can displace another only if its class and tenant have fewer queued
+  // requests for their weight than the pair with the most.
+  const ClassAndTenant own_pair = classAndTenantOf(request), longest = *longestQueue();
+  const auto it = queues_.find(own_pair);
+  const double own_length =
+      static_cast<double>(it == queues_.end() ? 1 : it->second.size() + 1) / weightOf(own_pair);
+  return own_length <= static_cast<double>(queues_.at(longest).size() - 1) / weightOf(longest)
              ? RejectionReason::None
              : reason;
 }
 
-Verdict RequestGate::offer(Time now, const AdmissionRequest& ask, std::vector<Refusal>& refused) {
-  fade(now);
+Verdict RequestGate::offer(Time now, const AdmissionRequest& request, std::vector<Refusal>& refused) {
+  decay(now);
   const auto refuse = [&](RejectionReason reason) {
-    turned_away_ += 1;
+    recent_refused_ += 1;
     return Verdict{AdmissionOutcome::Refused, reason};
   };
-  if (const RejectionReason reason = checkHead(ask); reason != RejectionReason::None) return refuse(reason);
-  // Nobody passes those of the same kind that wait already, unless what they wait for is memory.
-  const RejectionReason reason = blocked(ask);
-  const bool line = lines_.count(pairOf(ask)) > 0 && pickNext() != nullptr;
-  if (reason == RejectionReason::None && !line) {
-    admit(now, ask);
+  if (const RejectionReason reason = checkHead(request); reason != RejectionReason::None)
+    return refuse(reason);
+  // A request does not overtake queued ones of its class and tenant, unless those wait for memory.
+  const RejectionReason reason = blockReason(request);
+  const bool has_queue = queues_.count(classAndTenantOf(request)) > 0 && nextQueued() != nullptr;
+  if (reason == RejectionReason::None && !has_queue) {
+    admit(now, request);
     return {};
   }
   if (limits_.waiting == 0) return refuse(reason);
-  if (now + expectedWait() + usual(ask.request_class) >= ask.deadline)
+  if (now + expectedWait() + typicalDuration(request.request_class) >= request.deadline)
     return refuse(RejectionReason::DeadlineUnreachable);
   if (waiting_.size() >= limits_.waiting) {
-    const RequestKey last = lines_.at(*longestLine()).rbegin()->second;
-    leaveLine(last);
-    turned_away_ += 1;
+    const RequestKey last = queues_.at(*longestQueue()).rbegin()->second;
+    dequeue(last);
+    recent_refused_ += 1;
     refused.push_back({last, RejectionReason::EvictedFromQueue});
   }
-  enqueue(ask);
+  enqueue(request);
   return {AdmissionOutcome::Queued, RejectionReason::None};
 }
 
-void RequestGate::admit(Time now, const AdmissionRequest& ask) {
-  count(classes_, ask.request_class, true);
-  count(tenants_, ask.tenant, true);
-  bytes_ += ask.bytes;
-  retries_ += ask.retry ? 1 : 0;
-  let_in_ += 1;
-  open_.emplace(ask.id, Open{ask.request_class, ask.tenant, ask.bytes, now, ask.retry});
+void RequestGate::admit(Time now, const AdmissionRequest& request) {
+  count(classes_, request.request_class, true);
+  count(tenants_, request.tenant, true);
+  bytes_ += request.bytes;
+  retries_ += request.retry ? 1 : 0;
+  recent_admitted_ += 1;
+  open_.emplace(request.id, Open{request.request_class, request.tenant, request.bytes, now, request.retry});
 }
 
-void RequestGate::enqueue(const AdmissionRequest& ask) {
-  const Time latest = ask.deadline - usual(ask.request_class);
-  waiting_.emplace(ask.id, Waiting{ask, latest});
-  lines_[pairOf(ask)].insert({ask.deadline, ask.id});
-  by_latest_.insert({latest, ask.id});
-  waiting_retries_ += ask.retry ? 1 : 0;
+void RequestGate::enqueue(const AdmissionRequest& request) {
+  const Time latest_start = request.deadline - typicalDuration(request.request_class);
+  waiting_.emplace(request.id, Waiting{request, latest_start});
+  queues_[classAndTenantOf(request)].insert({request.deadline, request.id});
+  by_latest_start_.insert({latest_start, request.id});
+  waiting_retries_ += request.retry ? 1 : 0;
 }
 
-void RequestGate::leaveLine(RequestKey id) {
+void RequestGate::dequeue(RequestKey id) {
   const auto it = waiting_.find(id);
-  const auto& [ask, latest] = it->second;
-  const auto line = lines_.find(pairOf(ask));
-  line->second.erase({ask.deadline, id});
-  if (line->second.empty()) lines_.erase(line);
-  by_latest_.erase({latest, id});
-  waiting_retries_ -= ask.retry ? 1 : 0;
+  const auto& [request, latest_start] = it->second;
+  const auto queue = queues_.find(classAndTenantOf(request));
+  queue->second.erase({request.deadline, id});
+  if (queue->second.empty()) queues_.erase(queue);
+  by_latest_start_.erase({latest_start, id});
+  waiting_retries_ -= request.retry ? 1 : 0;
   waiting_.erase(it);
 }
 
 void RequestGate::release(Time now, RequestKey id) {
-  if (waiting_.count(id) > 0) return leaveLine(id);
+  if (waiting_.count(id) > 0) return dequeue(id);
   const auto it = open_.find(id);
   if (it == open_.end()) return;
   const Open& o = it->second;
-  Time& usual = usual_[place(classes_, o.request_class)];
-  const Time took = std::max<Time>(now - o.since, 0);
-  usual = usual == 0 ? took : usual + static_cast<Time>(kUsualWeight * static_cast<double>(took - usual));
-  if (!waiting_.empty() && released_ != 0) {
-    gap_ += kGapWeight * (static_cast<double>(now - released_) - gap_);
+  Time& typical = typical_duration_[indexOf(classes_, o.request_class)];
+  const Time duration = std::max<Time>(now - o.since, 0);
+  typical = typical == 0
+                ? duration
+                : typical + static_cast<Time>(kDurationWeight * static_cast<double>(duration - typical));
+  if (!waiting_.empty() && last_release_ != 0) {
+    release_interval_ += kIntervalWeight * (static_cast<double>(now - last_release_) - release_interval_);
   }
-  released_ = waiting_.empty() ? 0 : now;
+  last_release_ = waiting_.empty() ? 0 : now;
   count(classes_, o.request_class, false);
   count(tenants_, o.tenant, false);
   bytes_ -= o.bytes;
@@ -207,16 +217,18 @@
   open_.erase(it);
 }
 
-// The first of the line that has the fewest open for its weight, of those that are not blocked.
-const AdmissionRequest* RequestGate::pickNext() const {
+// The first request of the queue whose class and tenant have the fewest open requests for their weight, among
+// the queues that are not blocked. Groups below their guarantee come first.
+const AdmissionRequest* RequestGate::nextQueued() const {
   const AdmissionRequest* best = nullptr;
   std::array<double, 3> least{};
-  for (const auto& [pair, line] : lines_) {
-    const AdmissionRequest& first = waiting_.at(line.begin()->second).ask;
-    if (blocked(first) != RejectionReason::None) continue;
-    const Part &c = part(classes_, pair.first), &t = part(tenants_, pair.second);
-    const bool owed = c.open < c.share.guaranteed || t.open < t.share.guaranteed;
-    const std::array<double, 3> rank = {owed ? 0.0 : 1.0, static_cast<double>(c.open + 1) / c.share.weight,
+  for (const auto& [pair, queue] : queues_) {
+    const AdmissionRequest& first = waiting_.at(queue.begin()->second).request;
+    if (blockReason(first) != RejectionReason::None) continue;
+    const Group &c = groupOf(classes_, pair.first), &t = groupOf(tenants_, pair.second);
+    const bool below_guarantee = c.open < c.share.guaranteed || t.open < t.share.guaranteed;
+    const std::array<double, 3> rank = {below_guarantee ? 0.0 : 1.0,
+                                        static_cast<double>(c.open + 1) / c.share.weight,
                                         static_cast<double>(t.open + 1) / t.share.weight};
     if (best == nullptr || rank < least) best = &first, least = rank;
   }
@@ -224,41 +236,41 @@
 }
 
 void RequestGate::next(Time now, std::vector<RequestKey>& admitted, std::vector<Refusal>& refused) {
-  fade(now);
-  while (!by_latest_.empty() && by_latest_.begin()->first <= now) {
-    const RequestKey id = by_latest_.begin()->second;
-    leaveLine(id);
-    turned_away_ += 1;
+  decay(now);
+  while (!by_latest_start_.empty() && by_latest_start_.begin()->first <= now) {
+    const RequestKey id = by_latest_start_.begin()->second;
+    dequeue(id);
+    recent_refused_ += 1;
     refused.push_back({id, RejectionReason::DeadlineUnreachable});
   }
-  while (const AdmissionRequest* const found = pickNext()) {
-    const AdmissionRequest ask = *found;
-    leaveLine(ask.id);
-    admit(now, ask);
-    admitted.push_back(ask.id);
+  while (const AdmissionRequest* const found = nextQueued()) {
+    const AdmissionRequest request = *found;
+    dequeue(request.id);
+    admit(now, request);
+    admitted.push_back(request.id);
   }
 }
 
 Time RequestGate::due() const {
-  return by_latest_.empty() ? std::numeric_limits<Time>::max() : by_latest_.begin()->first;
+  return by_latest_start_.empty() ? std::numeric_limits<Time>::max() : by_latest_start_.begin()->first;
 }
 
-void RequestGate::fade(Time now) {
-  if (now <= faded_) return;
-  const double part = std::exp2(-static_cast<double>(now - faded_) / kAdviceHalves);
-  let_in_ *= part;
-  turned_away_ *= part;
-  faded_ = now;
+void RequestGate::decay(Time now) {
+  if (now <= decayed_at_) return;
+  const double factor = std::exp2(-static_cast<double>(now - decayed_at_) / kAdviceHalfLife);
+  recent_admitted_ *= factor;
+  recent_refused_ *= factor;
+  decayed_at_ = now;
 }
 
 void RequestGate::noteRefused(Time now) {
-  fade(now);
-  turned_away_ += 1;
+  decay(now);
+  recent_refused_ += 1;
 }
 
 Time RequestGate::retryAfter(Time now) {
-  fade(now);
-  const double excess = turned_away_ / std::max(1.0, let_in_);
+  decay(now);
+  const double excess = recent_refused_ / std::max(1.0, recent_admitted_);
   const double advised = static_cast<double>(limits_.advice_least) * (1 + excess);
   return static_cast<Time>(std::min(advised, static_cast<double>(limits_.advice_most)));
 }
--- a/tests/admission_connections_test.cpp
+++ b/tests/admission_connections_test.cpp
@@ -1,4 +1,5 @@
-// The gate for connections: what it decides, event by event, and what no sequence of events may break.
+// Tests ConnectionGate: time limits, eviction order, connection reuse, and invariants under random sequences
+// of events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,26 +21,26 @@
 
 class ConnectionGateTest : public ::testing::Test {
  protected:
-  // A connection that has asked and was answered `times` times, and rests since now.
-  ConnectionId rested(std::uint32_t from, int times = 1) {
+  // A connection with `times` answered requests, idle since now.
+  ConnectionId idleConnection(std::uint32_t from, int times = 1) {
     const ConnectionId id = gate.onAccepted(now, peer(from));
-    for (int i = 0; i < times; ++i) ask(id);
+    for (int i = 0; i < times; ++i) sendRequest(id);
     return id;
   }
-  RejectionReason ask(ConnectionId id) {
+  RejectionReason sendRequest(ConnectionId id) {
     gate.onFirstByte(now, id);
     gate.onRequest(id);
-    const RejectionReason verdict = gate.onAnswer(now, id, false);
-    if (verdict == RejectionReason::None) gate.onIdle(now, id);
-    return verdict;
+    const RejectionReason reason = gate.onAnswer(now, id, false);
+    if (reason == RejectionReason::None) gate.onIdle(now, id);
+    return reason;
   }
-  // A request on a connection of its own; closed with its answer where that is the verdict.
-  RejectionReason askOnce() {
+  // Sends a request on a new connection, which is closed after its response if the gate returns a reason.
+  RejectionReason sendRequestOnNewConnection() {
     const ConnectionId id = gate.onAccepted(now, peer(1));
-    const RejectionReason verdict = ask(id);
-    if (verdict != RejectionReason::None) gate.onClosed(id, verdict);
+    const RejectionReason reason = sendRequest(id);
+    if (reason != RejectionReason::None) gate.onClosed(id, reason);
     now += 3 * kMs;
-    return verdict;
+    return reason;
   }
   std::vector<ConnectionId> overdue() {
     std::vector<ConnectionGate::Overdue> all;
@@ -53,12 +54,12 @@
   ConnectionGate gate{{.most = 100, .overflow = 4, .kept = 8}};
 };
 
-TEST_F(ConnectionGateTest, EachStateHasItsTime) {
+TEST_F(ConnectionGateTest, EachStateHasItsTimeLimit) {
   const ConnectionId silent = gate.onAccepted(now, peer(1));
   const ConnectionId half = gate.onAccepted(now, peer(1));
-  const ConnectionId idle = rested(1);
+  const ConnectionId idle = idleConnection(1);
   now += kSecond;
-  gate.onFirstByte(now, half);  // counted from the acceptance all the same
+  gate.onFirstByte(now, half);  // still counted from the acceptance
   now += 1'399 * kMs;
   EXPECT_TRUE(overdue().empty());
   now += kMs;
@@ -68,7 +69,7 @@
   EXPECT_TRUE(overdue().empty());
   now += kMs;
   EXPECT_EQ(overdue(), std::vector{half});
-  gate.extend(half, now + 500 * kMs);  // its body comes
+  gate.extend(half, now + 500 * kMs);  // its body is arriving
   now += 499 * kMs;
   EXPECT_TRUE(overdue().empty());
   now += kMs;
@@ -80,10 +81,10 @@
   EXPECT_TRUE(overdue().empty());
   now += kMs;
   EXPECT_EQ(overdue(), std::vector{idle});
-  EXPECT_EQ(overdue(), std::vector{idle}) << "it stays until it is closed";
+  EXPECT_EQ(overdue(), std::vector{idle}) << "reported again until it is closed";
 }
 
-TEST_F(ConnectionGateTest, AWaitingRequestIsNeverOverdueHere) {
+TEST_F(ConnectionGateTest, ACompleteRequestHasNoTimeLimitHere) {
   const ConnectionId id = gate.onAccepted(now, peer(1));
   gate.onFirstByte(now, id);
   gate.onRequest(id);
@@ -91,8 +92,8 @@
   EXPECT_TRUE(overdue().empty());
 }
 
-TEST_F(ConnectionGateTest, AnOverdueOneWithInputIsLookedAtAgain) {
-  const ConnectionId id = rested(1);
+TEST_F(ConnectionGateTest, PendingInputDefersATimeout) {
+  const ConnectionId id = idleConnection(1);
   now += 5 * kSecond;
   ASSERT_EQ(overdue(), std::vector{id});
   gate.notePendingInput(now, id);
@@ -101,9 +102,9 @@
   EXPECT_EQ(overdue(), std::vector{id});
 }
 
-TEST_F(ConnectionGateTest, WhoNeverSaidAnythingGoesBeforeWhoAsked) {
-  const ConnectionId asked = rested(1);
-  const ConnectionId often = rested(1, 3);
+TEST_F(ConnectionGateTest, EvictsSilentBeforeIdleAndReusedLast) {
+  const ConnectionId used_once = idleConnection(1);
+  const ConnectionId reused = idleConnection(1, 3);
   const ConnectionId silent = gate.onAccepted(now, peer(1));
   std::vector<ConnectionId> order;
   now += kSecond;
@@ -111,16 +112,16 @@
     order.push_back(victim->id);
     gate.onClosed(victim->id, victim->reason);
   }
-  EXPECT_EQ(order, (std::vector{silent, asked, often}));
+  EXPECT_EQ(order, (std::vector{silent, used_once, reused}));
 }
 
-TEST_F(ConnectionGateTest, WhoHasConnectedJustNowIsNotClosed) {
+TEST_F(ConnectionGateTest, DoesNotEvictAConnectionThatWasJustAccepted) {
   gate.onAccepted(now, peer(1));
   now += 10 * kMs;
   EXPECT_FALSE(gate.evictionCandidate(now));
 }
 
-TEST_F(ConnectionGateTest, TheGraceOfSilentOnesFollowsHowSoonClientsAsk) {
+TEST_F(ConnectionGateTest, TheSilentGraceFollowsTheFirstByteDelay) {
   for (int i = 0; i < 400; ++i) {
     const ConnectionId id = gate.onAccepted(now, peer(1));
     now += kMs;
@@ -134,14 +135,14 @@
   EXPECT_EQ(gate.silentGrace(), 160 * kMs);
 }
 
-TEST_F(ConnectionGateTest, InACrowdThatSaysNothingNoKeptOneGoesForAnotherOfThem) {
-  const ConnectionId kept = rested(1);
+TEST_F(ConnectionGateTest, ASilentConnectionFloodDoesNotEvictIdleConnections) {
+  const ConnectionId kept = idleConnection(1);
   now += kSecond;
-  std::vector<ConnectionId> crowd;
-  for (int i = 0; i < 60; ++i) crowd.push_back(gate.onAccepted(now, peer(1)));
+  std::vector<ConnectionId> silent;
+  for (int i = 0; i < 60; ++i) silent.push_back(gate.onAccepted(now, peer(1)));
   EXPECT_FALSE(gate.evictionCandidate(now));
   now += 20 * kMs;
-  for (const ConnectionId expected : crowd) {
+  for (const ConnectionId expected : silent) {
     const auto victim = gate.evictionCandidate(now);
     ASSERT_TRUE(victim);
     EXPECT_EQ(victim->id, expected);
@@ -150,34 +151,34 @@
   EXPECT_EQ(gate.evictionCandidate(now)->id, kept);
 }
 
-TEST_F(ConnectionGateTest, OneAddressThatHoldsFarMoreGivesWayFirst) {
-  const ConnectionId other = rested(2);
+TEST_F(ConnectionGateTest, EvictsFirstFromAnAddressOverItsShare) {
+  const ConnectionId other = idleConnection(2);
   now += kSecond;
-  std::vector<ConnectionId> crowd;
-  for (int i = 0; i < 99; ++i) crowd.push_back(rested(1));
+  std::vector<ConnectionId> of_one_address;
+  for (int i = 0; i < 99; ++i) of_one_address.push_back(idleConnection(1));
   now += kSecond;
   const auto victim = gate.evictionCandidate(now);
   ASSERT_TRUE(victim);
-  EXPECT_EQ(victim->id, crowd.front());
+  EXPECT_EQ(victim->id, of_one_address.front());
   EXPECT_EQ(victim->reason, RejectionReason::PeerQuota);
   gate.onClosed(other, RejectionReason::None);
   const auto alone = gate.evictionCandidate(now);
   ASSERT_TRUE(alone);
-  EXPECT_NE(alone->reason, RejectionReason::PeerQuota) << "the only address is not over a share";
+  EXPECT_NE(alone->reason, RejectionReason::PeerQuota) << "the only address is never over its share";
 }
 
-TEST_F(ConnectionGateTest, InputThatWaitsProtects) {
-  const ConnectionId first = rested(1), second = rested(1);
+TEST_F(ConnectionGateTest, PendingInputProtectsFromEviction) {
+  const ConnectionId first = idleConnection(1), second = idleConnection(1);
   now += kSecond;
   ASSERT_EQ(gate.evictionCandidate(now)->id, first);
   gate.notePendingInput(now, first);
   EXPECT_EQ(gate.evictionCandidate(now)->id, second);
-  ask(first);
+  sendRequest(first);
   now += kSecond;
   EXPECT_EQ(gate.evictionCandidate(now)->id, second);
 }
 
-TEST_F(ConnectionGateTest, BeyondTheBoundAFewAreTakenToBeRefused) {
+TEST_F(ConnectionGateTest, AcceptsAFewBeyondTheLimitToRefuseTheirRequests) {
   for (int i = 0; i < 100; ++i) gate.onFirstByte(now, gate.onAccepted(now, peer(1)));
   EXPECT_TRUE(gate.full());
   EXPECT_FALSE(gate.overfull());
@@ -189,7 +190,7 @@
   EXPECT_TRUE(gate.overfull());
 }
 
-TEST_F(ConnectionGateTest, ARequestBeyondTheBoundIsServedIfThereIsRoomByThen) {
+TEST_F(ConnectionGateTest, ServesARequestBeyondTheLimitIfRoomBecameFree) {
   std::vector<ConnectionId> ids;
   for (int i = 0; i < 101; ++i) {
     ids.push_back(gate.onAccepted(now, peer(1)));
@@ -200,72 +201,74 @@
   EXPECT_FALSE(gate.refuses(ids.back()));
 }
 
-TEST_F(ConnectionGateTest, ThoseThatSayNothingAreNoReasonToRefuse) {
+TEST_F(ConnectionGateTest, SilentConnectionsDoNotCauseRefusals) {
   for (int i = 0; i < 100; ++i) gate.onAccepted(now, peer(1));
-  const ConnectionId asks = gate.onAccepted(now, peer(1));
-  gate.onFirstByte(now, asks);
-  EXPECT_FALSE(gate.refuses(asks));
+  const ConnectionId requesting = gate.onAccepted(now, peer(1));
+  gate.onFirstByte(now, requesting);
+  EXPECT_FALSE(gate.refuses(requesting));
 }
 
-// The incident: each request on a connection of its own that the client keeps; 128 of them were all it had.
-TEST_F(ConnectionGateTest, ConnectionsThatNobodyUsesAgainAreClosedWithTheirAnswer) {
-  for (int i = 0; i < 15; ++i) rested(1, 20);
+// In an incident the client opened a new connection for each request and kept all of them, until it reached
+// its own limit of 128.
+TEST_F(ConnectionGateTest, ClosesConnectionsWithTheirResponseWhenClientsDoNotReuseThem) {
+  for (int i = 0; i < 15; ++i) idleConnection(1, 20);
   int kept = 0;
-  for (int i = 0; i < 300; ++i) kept += askOnce() == RejectionReason::None ? 1 : 0;
+  for (int i = 0; i < 300; ++i) kept += sendRequestOnNewConnection() == RejectionReason::None ? 1 : 0;
   EXPECT_LT(kept, 60);
   EXPECT_TRUE(gate.reuse().keepsFewIdle());
   EXPECT_LT(gate.idle(), 60U);
 }
 
-TEST_F(ConnectionGateTest, ItKeepsThemAgainOnceTheyAreUsed) {
-  for (int i = 0; i < 300; ++i) askOnce();
+TEST_F(ConnectionGateTest, KeepsAllConnectionsAgainOnceTheyAreReused) {
+  for (int i = 0; i < 300; ++i) sendRequestOnNewConnection();
   ASSERT_TRUE(gate.reuse().keepsFewIdle());
-  // Those it kept are closed by the client; the next few are kept for trial and used.
+  // The client closes the connections that were kept; the next few are kept as a trial, and are reused.
   while (const auto victim = gate.evictionCandidate(now)) gate.onClosed(victim->id, RejectionReason::None);
   std::vector<ConnectionId> pool;
-  for (int i = 0; i < 8; ++i) pool.push_back(rested(1));
+  for (int i = 0; i < 8; ++i) pool.push_back(idleConnection(1));
   for (int i = 0; i < 40; ++i) {
     now += 3 * kMs;
-    ask(pool[static_cast<std::size_t>(i) % pool.size()]);
+    sendRequest(pool[static_cast<std::size_t>(i) % pool.size()]);
   }
   EXPECT_FALSE(gate.reuse().keepsFewIdle());
 }
 
-// After a restart all come at once, and each asks again only seconds later.
-TEST_F(ConnectionGateTest, ManySlowClientsGetTheirKeptConnectionsBack) {
+// After a restart all clients connect at once, and each sends its next request only seconds later.
+TEST_F(ConnectionGateTest, ManySlowClientsKeepTheirConnectionsAfterARestart) {
   gate = ConnectionGate({.most = 2000, .overflow = 4, .kept = 16});
   std::vector<ConnectionId> clients(500);
   int handshakes = 0;
   for (int round = 0; round < 6; ++round) {
     for (ConnectionId& c : clients) {
-      now += 4 * kMs;  // each asks every 2 s
+      now += 4 * kMs;  // each client sends a request every 2 s
       if (c == 0)
         c = gate.onAccepted(now, peer(static_cast<std::uint32_t>(&c - clients.data()))), ++handshakes;
-      if (const RejectionReason verdict = ask(c); verdict != RejectionReason::None)
-        gate.onClosed(std::exchange(c, 0), verdict);
+      if (const RejectionReason reason = sendRequest(c); reason != RejectionReason::None)
+        gate.onClosed(std::exchange(c, 0), reason);
     }
   }
   EXPECT_FALSE(gate.reuse().keepsFewIdle());
-  EXPECT_LT(handshakes, 1200) << "two rounds' worth and a little, not six";
+  EXPECT_LT(handshakes, 1200) << "a little more than two rounds of handshakes, not six";
 }
 
-TEST(ReuseJudge, ClientsThatChangeTheirMindOftenMakeItSlower) {
-  ReusePolicy judge;
+TEST(ReuseJudge, AlternatingClientBehaviourDelaysFurtherChanges) {
+  ReusePolicy policy;
   Time now = kSecond;
   int returns = 0;
   for (int i = 0; i < 20'000; ++i, now += 2 * kMs) {
-    const bool was = judge.keepsFewIdle();
-    const bool phase = i / 250 % 2 == 0;  // half a second of each
-    judge.onRequest(now, phase ? 2 : 1, 4);
-    returns += was && !judge.keepsFewIdle() ? 1 : 0;
+    const bool kept_few = policy.keepsFewIdle();
+    const bool reuse_phase = i / 250 % 2 == 0;  // half a second of reuse, then of none
+    policy.onRequest(now, reuse_phase ? 2 : 1, 4);
+    returns += kept_few && !policy.keepsFewIdle() ? 1 : 0;
   }
-  EXPECT_LE(returns, 8) << "40 s, 40 changes";
+  EXPECT_LE(returns, 8) << "40 s, with a change of behaviour every half second";
 }
 
-// 100,000 seeded steps: counts agree with a plain model, no place leaks, nothing is closed that asks.
-TEST(ConnectionGateProperties, NoSequenceOfEventsBreaksACount) {
+// 100,000 steps per seed: the counts agree with a simple model, no place leaks, and no busy connection is
+// evicted.
+TEST(ConnectionGateProperties, RandomEventsKeepCountsConsistent) {
   using State = ConnectionGate::State;
-  struct Known {
+  struct ModelConnection {
     State state;
     Time due;
   };
@@ -273,7 +276,7 @@
     std::mt19937 random(seed);
     const auto below = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
     ConnectionGate gate({.most = 200, .overflow = 8, .kept = 8});
-    std::map<ConnectionId, Known> model;
+    std::map<ConnectionId, ModelConnection> model;
     std::vector<ConnectionId> ids;
     Time now = 50 * kSecond;
     const ConnectionGate::Limits& limits = gate.limits();
@@ -295,12 +298,13 @@
           }
         }
         const ConnectionId id = gate.onAccepted(now, peer(below(5) == 0 ? below(1000) : below(4)));
-        ASSERT_TRUE(model.emplace(id, Known{State::Silent, now + limits.silent}).second) << "an id twice";
+        ASSERT_TRUE(model.emplace(id, ModelConnection{State::Silent, now + limits.silent}).second)
+            << "id issued twice";
         ids.push_back(id);
       }
       if (ids.empty()) continue;
       const ConnectionId id = ids[below(static_cast<std::uint32_t>(ids.size()))];
-      Known& k = model.at(id);
+      ModelConnection& k = model.at(id);
       switch (k.state) {
         case State::Silent:
         case State::Idle:
@@ -326,7 +330,7 @@
       }
       if (below(20) == 0) close(id, RejectionReason::None);
       if (below(50) == 0) {
-        gate.onFirstByte(now, 12345);  // ids it never gave or that are gone
+        gate.onFirstByte(now, 12345);  // unknown and outdated ids
         gate.onClosed(id ^ (std::uint64_t{1} << 40), RejectionReason::None);
       }
       if (step % 50 != 0) continue;
--- a/tests/body_pipe_test.cpp
+++ b/tests/body_pipe_test.cpp
@@ -1,4 +1,4 @@
-// What long bodies go by: the pipe, and the clock of an upload.
+// Tests the parts that stream long bodies: BodyPipe and UploadClock.
 #include "net/body_pipe.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 using admission::UploadClock;
 constexpr Time kSecond = 1'000'000, kMs = 1000;
 
-RC_GTEST_PROP(BodyPipe, WhatGoesInComesOutInOrderAndNeverMoreIsHeldThanAWindowAndARead, ()) {
+RC_GTEST_PROP(BodyPipe, PreservesOrderAndHoldsAtMostAWindowAndARead, ()) {
   const auto pieces = *rc::gen::container<std::vector<std::string>>(
       rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
   BodyPipe pipe(std::nullopt);
@@ -39,10 +39,10 @@
   RC_ASSERT(most <= BodyPipe::kWindow + 20'000);
 }
 
-TEST(BodyPipe, TheTakerHearsOfMoreAndOfTheEndOnceAndGetsWhatCameBefore) {
+TEST(BodyPipe, NotifiesTheReaderOnceOfDataAndOfTheEndAndKeepsEarlierData) {
   BodyPipe pipe(7);
-  int heard = 0;
-  pipe.onMore([&] { ++heard; });
+  int notified = 0;
+  pipe.onMore([&] { ++notified; });
   int started = 0;
   pipe.onStarted([&] { ++started; });
   EXPECT_FALSE(pipe.started());
@@ -50,11 +50,11 @@
   EXPECT_FALSE(pipe.started());
   pipe.put("abc");
   pipe.put("");
-  EXPECT_EQ(heard, 1);
+  EXPECT_EQ(notified, 1);
   pipe.breakOff();
-  pipe.finish();  // too late
+  pipe.finish();  // no effect after breakOff()
   pipe.put("x");
-  EXPECT_EQ(heard, 2);
+  EXPECT_EQ(notified, 2);
   EXPECT_EQ(pipe.end(), BodyPipe::End::Open);
   EXPECT_EQ(pipe.take(), "abc");
   EXPECT_TRUE(pipe.started());
@@ -62,42 +62,42 @@
   EXPECT_EQ(pipe.end(), BodyPipe::End::Broken);
 }
 
-TEST(BodyPipe, WhoPutsHearsThatItIsAbandonedUnlessItHadEnded) {
+TEST(BodyPipe, NotifiesTheWriterOfAbandonmentUnlessTheBodyHadEnded) {
   BodyPipe open(std::nullopt), ended(std::nullopt);
-  int told = 0;
-  open.onAbandoned([&] { ++told; });
-  ended.onAbandoned([&] { told += 10; });
+  int abandoned_count = 0;
+  open.onAbandoned([&] { ++abandoned_count; });
+  ended.onAbandoned([&] { abandoned_count += 10; });
   open.put("abc");
   open.giveUp();
   open.giveUp();
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(abandoned_count, 1);
   EXPECT_EQ(open.take(), "");
   ended.finish();
   ended.giveUp();
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(abandoned_count, 1);
 }
 
-TEST(UploadClock, AClientAtTheLeastPaceIsInTimeForAsLongAsItTakes) {
+TEST(UploadClock, AClientAtTheMinimumRateIsNeverOverdue) {
   Time now = 5 * kSecond;
   UploadClock clock(now);
   for (int n = 0; n < 10'000; ++n) {
     now += 100 * kMs;
     ASSERT_LT(now, clock.due()) << n;
-    clock.onBytes(now, static_cast<std::size_t>(UploadClock::kLeastPace / 10) + 1);
+    clock.onBytes(now, static_cast<std::size_t>(UploadClock::kMinRate / 10) + 1);
   }
 }
 
-TEST(UploadClock, WhoStandsStillOrTricklesIsTooLate) {
+TEST(UploadClock, AStalledOrTricklingUploadIsOverdue) {
   UploadClock half(0);
   half.onBytes(10 * kMs, 30 * 1024 * 1024);
-  EXPECT_EQ(half.due(), 10 * kMs + UploadClock::kStill);
+  EXPECT_EQ(half.due(), 10 * kMs + UploadClock::kMaxStall);
   UploadClock trickle(0);
   Time now = 0;
   while (now < trickle.due() && now < 60 * kSecond) trickle.onBytes(now += 100 * kMs, 1);
   EXPECT_LE(now, UploadClock::kGrace + 200 * kMs);
 }
 
-TEST(UploadClock, WhileTheProxyDoesNotReadNoTimePasses) {
+TEST(UploadClock, TimeWhilePausedIsNotCounted) {
   UploadClock clock(0);
   clock.onBytes(100 * kMs, 1000);
   const Time due = clock.due();
