--- a/src/daemon/serve.cpp
+++ b/src/daemon/serve.cpp
@@ -193,17 +193,17 @@
     return figures;
   }
   bool takeOut(const std::string& host) override {
-    return proxy_.takeOut(host) && tellOther({hot_restart::Type::TakeOut, host});
+    return proxy_.disableHost(host) && tellOther({hot_restart::Type::TakeOut, host});
   }
   bool putBack(const std::string& host) override {
-    return proxy_.putBack(host) && tellOther({hot_restart::Type::PutBack, host});
+    return proxy_.enableHost(host) && tellOther({hot_restart::Type::PutBack, host});
   }
   void drainClients() override {
     proxy_.drainClients();
     tellOther({hot_restart::Type::Drain, {}});
   }
   void takeClients() override {
-    proxy_.takeClients();
+    proxy_.undrainClients();
     tellOther({hot_restart::Type::TakeClients, {}});
   }
 
@@ -225,15 +225,15 @@
   void told(const hot_restart::Frame& call) override {
     switch (call.type) {
       case hot_restart::Type::TakeOut:
-        proxy_.takeOut(call.payload);
+        proxy_.disableHost(call.payload);
         return;
       case hot_restart::Type::PutBack:
-        proxy_.putBack(call.payload);
+        proxy_.enableHost(call.payload);
         return;
       case hot_restart::Type::Drain:
         return proxy_.drainClients();
       case hot_restart::Type::TakeClients:
-        return proxy_.takeClients();
+        return proxy_.undrainClients();
       default:
         return;
     }
@@ -279,7 +279,7 @@
   }
   void adopt(int descriptor) override { proxy_.adopt(descriptor); }
   std::size_t descriptorsHeld() override { return proxy_.descriptorsHeld(); }
-  void otherHolds(std::size_t descriptors) override { proxy_.otherHolds(descriptors); }
+  void otherHolds(std::size_t descriptors) override { proxy_.setDescriptorsHeldByOther(descriptors); }
   bool finished() override { return proxy_.idle(); }
   void leave() override {
     log_.line("all is handed on");
@@ -324,7 +324,7 @@
       s.priority_weight[class_names_[i]] = c.priority_weight;
     }
     s.pending = [this] { return source_.pendingServices(); };
-    s.rooms = [this] { return proxy_.zoneRooms(); };
+    s.rooms = [this] { return proxy_.zoneCapacities(); };
     ownership_ = std::make_unique<ownership::OwnershipService>(io_, clock_, log_, std::move(s), *membership_,
                                                                [this] { return proxy_.canServe(); });
     proxy_.setGate(ownership_.get());
--- a/src/front/include/front/proxy.h
+++ b/src/front/include/front/proxy.h
@@ -54,7 +54,7 @@
   // Of clients and hosts, and the process's own.
   std::size_t descriptorsHeld() const;
   // Another process holds so many of those that both may hold together.
-  void otherHolds(std::size_t descriptors);
+  void setDescriptorsHeldByOther(std::size_t descriptors);
 
   // Graceful: goes on accepting while new connections may still come, finishes what was taken; then `done`.
   void shutdown(std::function<void()> done);
@@ -72,8 +72,8 @@
   // This process can serve: it listens and has had a list of hosts.
   bool canServe() const { return lifecycle_.serves() && pool_.hostCounts().listed > 0; }
   // Nothing new to this host, or again. False: no host has this id.
-  bool takeOut(const std::string& host) { return pool_.takeOut(host); }
-  bool putBack(const std::string& host) { return pool_.putBack(host); }
+  bool disableHost(const std::string& host) { return pool_.disableHost(host); }
+  bool enableHost(const std::string& host) { return pool_.enableHost(host); }
   // What the fleet holds of a zone, and what this proxy has seen of it: as Balancer's, by name.
   void setZone(const std::string& zone, load_balancer::ZoneDirective order) {
     pool_.setZone(config_.zones.indexOf(zone), order);
@@ -84,7 +84,7 @@
   }
   std::vector<std::string> zoneNames() const { return config_.zones.names(); }
   // What the listed hosts of each zone can take: the sum of their capacities.
-  std::map<std::string, double> zoneRooms() const {
+  std::map<std::string, double> zoneCapacities() const {
     std::map<std::string, double> rooms;
     for (const load_balancer::Host& h : pool_.hosts().hosts) {
       if (h.state == load_balancer::HostState::Healthy) rooms[config_.zones.nameOf(h.zone)] += h.capacity;
@@ -94,7 +94,7 @@
   // The front is told to send clients elsewhere; their connections are closed with their answers, and those
   // that rest before long. Listening goes on. Either may be called twice.
   void drainClients();
-  void takeClients();
+  void undrainClients();
   bool drained() const { return lifecycle_.drained(); }
   // In Prometheus' text format.
   std::string stats() const;
--- a/src/front/proxy.cpp
+++ b/src/front/proxy.cpp
@@ -72,7 +72,7 @@
 
 std::size_t Proxy::descriptorsHeld() const { return descriptors_.used() + kOwnDescriptors; }
 
-void Proxy::otherHolds(std::size_t descriptors) {
+void Proxy::setDescriptorsHeldByOther(std::size_t descriptors) {
   const std::size_t all = budgetOf(config_);
   descriptors_.setLimit(all - std::min(descriptors, all / 2));
 }
--- a/src/front/proxy_life.cpp
+++ b/src/front/proxy_life.cpp
@@ -119,7 +119,7 @@
   });
 }
 
-void Proxy::takeClients() {
+void Proxy::undrainClients() {
   withLifecycle([this](lifecycle::Steps& steps) {
     if (lifecycle_.onUndrain(steps)) log_.line("taking clients again, by hand");
   });
--- a/src/pools/include/pools/pool.h
+++ b/src/pools/include/pools/pool.h
@@ -93,8 +93,8 @@
   bool clientGone(ExchangeId id);
 
   // By hand: nothing new to this host, or again. False: no host has this id.
-  bool takeOut(const std::string& host) { return maintain(host, true); }
-  bool putBack(const std::string& host) { return maintain(host, false); }
+  bool disableHost(const std::string& host) { return maintain(host, true); }
+  bool enableHost(const std::string& host) { return maintain(host, false); }
   // As Balancer's.
   load_balancer::ZoneObservation observeZone(std::int32_t zone, Time now,
                                              const load_balancer::ZoneObservedSince& since) {
--- a/tests/by_hand_proxy_test.cpp
+++ b/tests/by_hand_proxy_test.cpp
@@ -24,8 +24,8 @@
   Host& rest = at_host ? other : host;
   const char* const id = at_host ? "s-1" : "s-2";
   ASSERT_TRUE(loop.until([&] { return asked.peers[0]->heard("first"); }));
-  EXPECT_TRUE(proxy->takeOut(id));
-  EXPECT_FALSE(proxy->takeOut("nobody"));
+  EXPECT_TRUE(proxy->disableHost(id));
+  EXPECT_FALSE(proxy->disableHost("nobody"));
   EXPECT_EQ(figure("app_targets"), 2);
   EXPECT_EQ(figure("app_targets_disabled"), 1);
   asked.peers[0]->say(answerOf("done"));
@@ -40,7 +40,7 @@
   }
   EXPECT_EQ(asked.peers.size(), 1U);
   EXPECT_EQ(asked.peers[0]->got.find("n0"), std::string::npos);
-  EXPECT_TRUE(proxy->putBack(id));
+  EXPECT_TRUE(proxy->enableHost(id));
   EXPECT_EQ(figure("app_targets_disabled"), 0);
 }
 
@@ -56,7 +56,7 @@
   ASSERT_TRUE(loop.until([&] { return c->heard("hello"); }));
   ASSERT_TRUE(loop.until([&] { return figure("app_concurrent") == 0; }));
   EXPECT_EQ(figure("app_success{type=\"slot-status\"}"), 1);
-  ASSERT_TRUE(proxy->takeOut("s-1"));
+  ASSERT_TRUE(proxy->disableHost("s-1"));
   c->say(request("b"));
   ASSERT_TRUE(loop.until([&] { return c->heard("HTTP/1.1 503"); }));
   EXPECT_TRUE(c->heard("Retry-After"));
@@ -88,7 +88,7 @@
   ASSERT_TRUE(loop.until([&] { return busy->ended && late->ended; }));
   EXPECT_TRUE(busy->heard("one") && busy->heard("Connection: close"));
   EXPECT_TRUE(late->heard("two"));
-  proxy->takeClients();
+  proxy->undrainClients();
   const auto again = client();
   again->say(kHealthz);
   ASSERT_TRUE(loop.until([&] { return again->heard("HTTP/1.1 200"); }));
