--- a/src/front/proxy.cpp
+++ b/src/front/proxy.cpp
@@ -30,9 +30,9 @@
   pool.settings = std::move(settings);
   pool.seed = config.seed;
   pool.upstream = upstreamLimits(config);
-  pool.reports = config.site.reports;
+  pool.hosts_report_load = config.site.reports;
   if (!config.alone) pool.discovery = config.discovery;
-  pool.revision = config.known.revision;
+  pool.known_revision = config.known.revision;
   return pool;
 }
 
@@ -257,7 +257,7 @@
     rejection_counters_.note(RejectionReason::None, queued.admission_request.request_class,
                              queued.admission_request.tenant);
     open(queued.admission_request, std::move(queued.request), queued.info, queued.service_claim);
-    if (queued.uploaded != 0) pool_.uploaded(id, queued.uploaded, queued.admission_request.deadline);
+    if (queued.uploaded != 0) pool_.onUploadComplete(id, queued.uploaded, queued.admission_request.deadline);
   }
   awaitPermits();
 }
@@ -297,7 +297,7 @@
                         .tenant = admission_request.tenant,
                         .idempotency = info.idempotency,
                         .deadline = admission_request.deadline,
-                        .patience = info.deadline};
+                        .time_after_upload = info.deadline};
   if (service_claim) taken.service = service_claim->service, taken.zone = service_claim->zone;
   pool_.open(std::move(taken));
 }
@@ -324,7 +324,7 @@
     queued->second.uploaded = received;
     return;
   }
-  pool_.uploaded(id, received, deadline);
+  pool_.onUploadComplete(id, received, deadline);
 }
 
 // A long answer counts when all of it is with the client, or will never be.
@@ -357,7 +357,7 @@
     requests_.release(clock_.now(), id);
     return;
   }
-  if (pool_.clientGone(id)) releasePermit(id);
+  if (pool_.onClientDisconnected(id)) releasePermit(id);
 }
 
 // ---- reload ----
--- a/src/pools/include/pools/pool.h
+++ b/src/pools/include/pools/pool.h
@@ -1,7 +1,7 @@
-// A pool of hosts: sole owner of its decision module, its list of hosts, its connections to them and the
-// table of its open requests. It turns what these report into the module's events and carries out the
-// module's actions in order. It decides nothing but what the protocol leaves no choice in, and knows nothing
-// of clients, other pools or who was let in.
+// A pool of hosts. It owns its load balancer (the decision module), its host list, its connections to the
+// hosts and the table of its open requests. Requests, attempt results and list updates become balancer
+// events; the balancer's actions are carried out in order. The pool itself decides only what the protocol
+// leaves no choice about. It has no access to client connections, other pools or admission.
 #pragma once
 
 #include <algorithm>
@@ -24,86 +24,90 @@
 
 namespace client_proxy {
 
-// A request that was let in, with what it came under.
+// A request that passed admission, with the class, tenant and limits that apply to it. A request is long if
+// its body is streamed: `request.rest` is set.
 struct AdmittedRequest {
   ExchangeId exchange = 0;
   ClientRequest request;
-  std::int32_t request_class = 0, tenant = load_balancer::kUnset;  // the module's numbers
+  std::int32_t request_class = 0, tenant = load_balancer::kUnset;  // the balancer's indices
   load_balancer::Idempotency idempotency = load_balancer::Idempotency::NonIdempotent;
   Time deadline = 0;
-  Time patience = 0;          // of a long one: how long its client waits after the last byte, at most
-  bool may_have_run = false;  // told by onCompleted(): an attempt of it may have
-  std::optional<ServiceGate::Service> service = {};  // that one site alone may run
-  std::string zone = {};                             // that site's zone
-  std::string last_zone = {};  // where there are services: the zone of its last attempt, and what that took
-  Time last_duration = 0;
+  Time time_after_upload = 0;  // of a long request: how long its client waits after the last byte, at most
+  bool may_have_run = false;   // set before onCompleted(): a host may have processed one of its attempts
+  std::optional<ServiceGate::Service> service = {};  // set if only one site may run it
+  std::string zone = {};                             // the zone of that site
+  std::string last_zone = {};                        // with a service gate: the zone of its last attempt
+  Time last_duration = 0;                            // and how long that attempt took
 };
 
-// What a pool tells. Calls back into it are allowed from each.
+// Receives the pool's reports. Every callback may call back into the pool.
 class PoolSink {
  public:
   virtual ~PoolSink() = default;
-  // The one final answer of a request, unless its client has gone before.
+  // The final answer to a request; exactly one, unless its client disconnected first.
   virtual void onAnswer(const AdmittedRequest& request, Answer answer) = 0;
-  // An attempt of this class has been written whole to a host.
+  // An attempt of this class was written in full to a host.
   virtual void onDispatched(std::int32_t request_class) = 0;
-  // Nothing of it is in flight any more, after its answer: the last word on it.
+  // The request is answered and none of its attempts is in flight. The last callback for it.
   virtual void onCompleted(const AdmittedRequest& request) = 0;
 };
 
 class Pool final : private AttemptSink, private DiscoverySink {
  public:
   struct Config {
-    std::string name;  // before its lines in the log; empty: none
+    std::string name;  // prefix of its log lines; empty: no prefix
     load_balancer::Settings settings;
     std::uint64_t seed = 0;
     Upstream::Limits upstream;
-    bool reports = false;               // hosts report their load
-    std::optional<Endpoint> discovery;  // where lists come from; nothing: setHosts() only
-    std::uint64_t revision = 0;         // of the list that is known
+    bool hosts_report_load = false;     // parse the load reports in responses and health checks
+    std::optional<Endpoint> discovery;  // the source of host lists; unset: setHosts() only
+    std::uint64_t known_revision = 0;   // of the host list given to start()
   };
 
-  // `zones` and all else by reference must outlive it.
+  // `zones` and all other references must outlive the pool.
   Pool(boost::asio::io_context& io, Timers& timers, Descriptors& descriptors, Log& log, Zones& zones,
        PoolSink& sink, Config config);
   ~Pool() override;
 
-  // Who says whether requests of a service may be sent; must outlive it. Null: there are no services.
+  // Decides whether requests of a service may be sent; must outlive the pool. Null: there are no services.
   void setGate(ServiceGate* gate) { gate_ = gate; }
-  // The list as it was last known, perhaps old; then the watch on discovery, if there is one.
+  // Starts from the last known host list, which may be stale, then watches discovery if it is configured.
   void start(HostList known);
-  // The same with what the process before this one knew: `known` is how the list was a moment ago.
+  // The same for a hot restart: `known` and `servers` are the previous process's list and host snapshots.
   void start(HostList known, const std::vector<load_balancer::HostSnapshot>& servers);
-  // What the process after this one is to know.
+  // The state handed over to the next process in a hot restart.
   HostList hosts() const;
   std::vector<load_balancer::HostSnapshot> snapshot() const { return balancer_.snapshot(); }
+  // Whether connections to hosts are kept open for reuse.
   void keepConnections(bool keep) { upstream_.keepConnections(keep); }
-  // The whole list is this from now on.
+  // Replaces the whole host list.
   void setHosts(HostList list);
-  // Throws std::invalid_argument like load_balancer::validateChange, and then nothing has changed.
+  // Throws std::invalid_argument like load_balancer::validateChange; nothing has changed then.
   void reconfigure(load_balancer::Settings settings, const Upstream::Limits& upstream);
   void moveDiscovery(const Endpoint& to);
 
   void open(AdmittedRequest request);
-  // The last byte of a long request came at `received`; its client waits until `deadline`.
-  void uploaded(ExchangeId id, Time received, Time deadline);
-  // The process has to leave: every request has its answer by then, whatever time its client has.
+  // The last byte of a long request arrived at `received`; its client waits until `deadline`.
+  void onUploadComplete(ExchangeId id, Time received, Time deadline);
+  // The process is shutting down: every request is answered by `last`, even if its own deadline is later.
   void finishBy(Time last);
-  // Its client has gone: no answer is owed. False: none was, it is not here or has been answered.
-  bool clientGone(ExchangeId id);
-
-  // By hand: nothing new to this host, or again. False: no host has this id.
-  bool disableHost(const std::string& host) { return maintain(host, true); }
-  bool enableHost(const std::string& host) { return maintain(host, false); }
-  // As Balancer's.
+  // The client disconnected and no answer is owed. Returns false if the request is not open here or is
+  // already answered.
+  bool onClientDisconnected(ExchangeId id);
+
+  // Takes a host out of use by operator command: it gets no new requests until enableHost(). Returns false if
+  // no host has this id.
+  bool disableHost(const std::string& host) { return setMaintenance(host, true); }
+  bool enableHost(const std::string& host) { return setMaintenance(host, false); }
+  // See Balancer::observeZone.
   load_balancer::ZoneObservation observeZone(std::int32_t zone, Time now,
                                              const load_balancer::ZoneObservedSince& since) {
     return balancer_.observeZone(now, zone, since);
   }
-  void setZone(std::int32_t zone, load_balancer::ZoneDirective order);
+  void setZone(std::int32_t zone, load_balancer::ZoneDirective directive);
   load_balancer::HostCounts hostCounts() const { return balancer_.hostCounts(); }
   load_balancer::SlowStartCounts slowStartCounts() const { return balancer_.slowStartCounts(); }
-  // With requests that had no answer at their deadline.
+  // The balancer's counts; `lost` includes requests that the balancer left unanswered at their deadline.
   load_balancer::RuleViolations ruleViolations() const {
     load_balancer::RuleViolations counts = balancer_.ruleViolations();
     counts.lost += missing_answers_;
@@ -111,6 +115,7 @@
   }
 
   std::size_t openRequests() const { return open_.size(); }
+  // Returns false if there is no idle connection.
   bool closeOneIdle() { return upstream_.closeOneIdle(); }
   const Upstream& upstream() const { return upstream_; }
   std::optional<Endpoint> discoveryEndpoint() const;
@@ -119,21 +124,21 @@
   using RequestId = load_balancer::RequestId;  // an ExchangeId
 
   struct Attempt {
-    Time sent = 0;
-    Time time_limit = 0;       // from then, or from a long request's last byte
-    Time streaming_limit = 0;  // the same where its answer is being written by then
-    Time answered = 0;         // when its long answer began; 0: it has not
-    bool ended = false;        // its outcome is known
+    Time sent_at = 0;
+    Time time_limit = 0;           // from `sent_at`, or from a long request's last byte
+    Time streaming_limit = 0;      // the same if its response is being received by then
+    Time response_started_at = 0;  // of a streamed response; 0: not started
+    bool ended = false;            // its outcome is known
   };
-  struct Open {  // unanswered, or with an attempt out
+  struct OpenRequest {  // unanswered, or with an attempt in flight
     AdmittedRequest admitted;
     std::vector<Attempt> attempts;
     std::int32_t outstanding = 0;
-    Time uploaded = 0;       // when the last byte of a long request came; 0: not yet
-    bool answered = false;   // the client has its answer, or is gone
-    bool timed_out = false;  // an attempt has
+    Time upload_completed_at = 0;  // of a long request; 0: not yet
+    bool answered = false;         // or its client disconnected
+    bool timed_out = false;        // at least one attempt timed out
   };
-  struct Listed {
+  struct ListedHost {
     load_balancer::Host host;
     Endpoint endpoint;
   };
@@ -146,7 +151,7 @@
   void onHostList(const HostList& list) override;
   void onDiscoveryLost(const std::string& why) override;
 
-  // Calls into the Balancer are never nested: what happens while actions are carried out waits in line.
+  // Calls into the Balancer never nest: events raised while actions are carried out are queued.
   template <typename Event>
   void dispatch(Event event);
   void performActions();
@@ -155,31 +160,31 @@
   void finish(RequestId id, Answer answer);
   void onAttemptTimeout(RequestId id, std::int32_t attempt);
   void onDeadline(RequestId id);
-  void armAttemptTimeout(RequestId id, const Open& request, std::int32_t attempt);
-  // When a host could begin with it: a long request's last byte counts.
-  static Time startedAt(const Open& request, const Attempt& attempt) {
-    return std::max(attempt.sent, request.uploaded);
+  void armAttemptTimeout(RequestId id, const OpenRequest& request, std::int32_t attempt);
+  // The earliest time the host could start processing: a long request needs its last byte first.
+  static Time processingStart(const OpenRequest& request, const Attempt& attempt) {
+    return std::max(attempt.sent_at, request.upload_completed_at);
   }
-  void outcome(Time now, RequestId id, std::int32_t attempt, AttemptEnd end);
-  void forgetIfDone(RequestId id);
-  bool maintain(const std::string& host, bool in_maintenance);
+  void handleAttemptEnd(Time now, RequestId id, std::int32_t attempt, AttemptEnd end);
+  void removeIfDone(RequestId id);
+  bool setMaintenance(const std::string& host, bool in_maintenance);
   HostList mergedWithKnown(HostList list) const;
   void applyHosts(const HostList& list);
   void applyList(HostList list, load_balancer::ListKind kind);
-  bool pushed() const;
+  bool usesPush() const;
   load_balancer::LoadReport parseLoad(std::string_view text) const;
-  // The term under which a request of a service may be sent where it was meant to go, 0 for one of no
-  // service. Nothing: its service has another owner by now.
-  std::optional<std::uint32_t> termFor(const Open& request) const;
-  // What the host of an attempt is told that begins now: never more than the client has left.
-  static Time timeLeft(const Open& request, const Attempt& attempt, Time now);
-  std::string headFor(const Open& request, Time time_left, std::uint32_t term) const;
+  // The term under which the request may be sent to its service's zone; 0 if it has no service. Empty: the
+  // service has another owner by now, or may not be sent to.
+  std::optional<std::uint32_t> termFor(const OpenRequest& request) const;
+  // The time announced to the host for an attempt that starts now: never more than the client has left.
+  static Time timeLeft(const OpenRequest& request, const Attempt& attempt, Time now);
+  std::string headFor(const OpenRequest& request, Time time_left, std::uint32_t term) const;
   void log(std::string_view text, LogLevel level = LogLevel::Info);
 
   static AttemptId attemptId(RequestId request, std::int32_t attempt) {
-    return request * kMostAttempts + static_cast<AttemptId>(attempt);
+    return request * kMaxAttempts + static_cast<AttemptId>(attempt);
   }
-  static constexpr AttemptId kMostAttempts = 64;
+  static constexpr AttemptId kMaxAttempts = 64;  // per request
 
   Config config_;
   Timers& timers_;
@@ -191,11 +196,11 @@
   load_balancer::Balancer balancer_;
   Upstream upstream_;
   std::optional<Discovery> discovery_;
-  std::unordered_map<RequestId, Open> open_;
-  std::map<std::string, Listed, std::less<>> listed_;  // the hosts that upstream knows
-  std::deque<std::function<void(Time)>> events_;
-  Time shutdown_deadline_ = kNever;    // no request may be open longer
-  std::uint64_t missing_answers_ = 0;  // by the module, at a deadline
+  std::unordered_map<RequestId, OpenRequest> open_;
+  std::map<std::string, ListedHost, std::less<>> listed_;  // the hosts registered with upstream_
+  std::deque<std::function<void(Time)>> events_;           // waiting for the event in progress
+  Time shutdown_deadline_ = kNever;                        // no request stays open beyond this
+  std::uint64_t missing_answers_ = 0;                      // requests the balancer left unanswered
   bool dispatching_ = false;
   load_balancer::Actions actions_;
 };
--- a/src/pools/pool_head.cpp
+++ b/src/pools/pool_head.cpp
@@ -1,4 +1,4 @@
-// The head with which a request goes to a host.
+// Builds the HTTP request head that an attempt sends to a host.
 #include <algorithm>
 #include <cctype>
 #include <string>
@@ -10,18 +10,18 @@
 namespace client_proxy {
 namespace {
 
-// A client has no say in it.
-std::string withoutTerm(const std::string& lines) {
-  constexpr std::string_view kName = "x-service-term:";
+// Drops the client's X-Service-Term header lines: only the proxy may set the term.
+std::string withoutTermHeader(const std::string& lines) {
+  constexpr std::string_view kHeader = "x-service-term:";
   std::string kept;
   for (std::size_t at = 0; at < lines.size();) {
     const std::size_t end = std::min(lines.find("\r\n", at), lines.size() - 2) + 2;
     const std::string_view line = std::string_view(lines).substr(at, end - at);
-    const bool named = line.size() >= kName.size() &&
-                       std::equal(kName.begin(), kName.end(), line.begin(), [](char a, char b) {
-                         return a == std::tolower(static_cast<unsigned char>(b));
-                       });
-    if (!named) kept += line;
+    const bool is_term = line.size() >= kHeader.size() &&
+                         std::equal(kHeader.begin(), kHeader.end(), line.begin(), [](char a, char b) {
+                           return a == std::tolower(static_cast<unsigned char>(b));
+                         });
+    if (!is_term) kept += line;
     at = end;
   }
   return kept;
@@ -29,30 +29,30 @@
 
 }  // namespace
 
-std::optional<std::uint32_t> Pool::termFor(const Open& r) const {
+std::optional<std::uint32_t> Pool::termFor(const OpenRequest& r) const {
   if (!r.admitted.service) return 0;
   const ServiceGate::Permission permission = gate_->permission(*r.admitted.service);
   if (!permission.allowed || permission.zone != r.admitted.zone) return std::nullopt;
   return permission.term;
 }
 
-Time Pool::timeLeft(const Open& r, const Attempt& a, Time now) {
+Time Pool::timeLeft(const OpenRequest& r, const Attempt& a, Time now) {
   const bool uploading =
-      r.admitted.request.rest && r.uploaded == 0;  // the attempt's time has not begun to run
-  const Time end = (uploading ? now : startedAt(r, a)) + a.time_limit;
+      r.admitted.request.rest && r.upload_completed_at == 0;  // the attempt's time limit does not run yet
+  const Time end = (uploading ? now : processingStart(r, a)) + a.time_limit;
   return std::min(end, r.admitted.deadline) - now;
 }
 
-std::string Pool::headFor(const Open& r, Time time_left, std::uint32_t term) const {
-  const RequestHead& from = r.admitted.request.head;
+std::string Pool::headFor(const OpenRequest& r, Time time_left, std::uint32_t term) const {
+  const RequestHead& original = r.admitted.request.head;
   std::string head;
-  head.reserve(from.method.size() + from.target.size() + from.forward.size() + 128);
-  head += from.method;
+  head.reserve(original.method.size() + original.target.size() + original.forward.size() + 128);
+  head += original.method;
   head += ' ';
-  head += from.target;
+  head += original.target;
   head += " HTTP/1.1\r\n";
-  head += term == 0 ? from.forward : withoutTerm(from.forward);
-  if (!from.has_host) head += "Host: api.internal\r\n";
+  head += term == 0 ? original.forward : withoutTermHeader(original.forward);
+  if (!original.has_host) head += "Host: api.internal\r\n";
   if (term != 0) head += "X-Service-Term: " + std::to_string(term) + "\r\n";
   head += "X-Time-Left: ";
   head += formatSeconds(time_left);
@@ -66,7 +66,7 @@
     head += "Content-Length: ";
     head += std::to_string(*rest->length());
     head += "\r\n";
-  } else if (from.method != "GET" || r.admitted.request.body) {
+  } else if (original.method != "GET" || r.admitted.request.body) {
     head += "Content-Length: ";
     head += std::to_string(r.admitted.request.body ? r.admitted.request.body->size() : 0);
     head += "\r\n";
--- a/src/pools/pool_hosts.cpp
+++ b/src/pools/pool_hosts.cpp
@@ -1,4 +1,4 @@
-// A pool's list of hosts: what discovery, operators and staff say of them.
+// A pool's host list: updates from discovery, the operator's file and console commands.
 #include <algorithm>
 #include <utility>
 
@@ -27,21 +27,22 @@
   if (discovery_) discovery_->moveTo(to);
 }
 
-bool Pool::maintain(const std::string& host, bool in_maintenance) {
+bool Pool::setMaintenance(const std::string& host, bool in_maintenance) {
   if (!balancer_.setMaintenance(clock_.now(), host, in_maintenance)) return false;
   if (in_maintenance) upstream_.closeIdleTo(host);
-  log("host " + host + (in_maintenance ? " is out of use, by hand" : " is in use again, by hand"));
+  log("host " + host +
+      (in_maintenance ? " is disabled by operator command" : " is enabled again by operator command"));
   return true;
 }
 
-void Pool::setZone(std::int32_t zone, load_balancer::ZoneDirective order) {
-  dispatch([this, zone, order](Time now) { balancer_.setZone(now, zone, order, actions_); });
+void Pool::setZone(std::int32_t zone, load_balancer::ZoneDirective directive) {
+  dispatch([this, zone, directive](Time now) { balancer_.setZone(now, zone, directive, actions_); });
 }
 
-// What the list means together with what is known. An entry that could not be read leaves its host as it was.
-// An address has one host, the one that started last: a machine that has been replaced may still be listed
-// beside the new one, and what is sent to it then would come on top of what the new, cold one can take. This
-// would harm a fleet in which hosts share an address, which the protocol does not have.
+// Combines a list update with the known hosts. An entry that could not be parsed leaves its host unchanged.
+// If several hosts have one endpoint, only the one that started last is kept: a replaced machine may still be
+// listed beside its replacement, and requests sent to it would exceed what the replacement can take during
+// slow start. Hosts that share an endpoint on purpose would not work; the protocol has none.
 HostList Pool::mergedWithKnown(HostList list) const {
   for (const std::string& uid : list.unread) {
     const auto known = listed_.find(uid);
@@ -49,30 +50,33 @@
     list.hosts.push_back(known->second.host);
     list.endpoints.push_back(known->second.endpoint);
   }
-  std::map<std::string_view, std::size_t> named;
-  for (std::size_t i = 0; i < list.hosts.size(); ++i) named[list.hosts[i].id] = i;
-  std::map<Endpoint, load_balancer::Host> holders;
-  const auto claim = [&](const Endpoint& at, const load_balancer::Host& host) {
+  std::map<std::string_view, std::size_t> index_by_id;
+  for (std::size_t i = 0; i < list.hosts.size(); ++i) index_by_id[list.hosts[i].id] = i;
+  std::map<Endpoint, load_balancer::Host> host_by_endpoint;
+  const auto assign_endpoint = [&](const Endpoint& endpoint, const load_balancer::Host& host) {
     if (host.state == load_balancer::HostState::Gone) return;
-    const auto [it, first] = holders.emplace(at, host);
+    const auto [it, first] = host_by_endpoint.emplace(endpoint, host);
     if (!first && host.started_at >= it->second.started_at) it->second = host;
   };
   if (!list.full) {
     for (const auto& [uid, known] : listed_) {
-      if (!named.count(uid)) claim(known.endpoint, known.host);
+      if (!index_by_id.count(uid)) assign_endpoint(known.endpoint, known.host);
     }
   }
-  for (std::size_t i = 0; i < list.hosts.size(); ++i) claim(list.endpoints[i], list.hosts[i]);
-  const auto lost = [&](const Endpoint& at, const std::string& uid) { return holders.at(at).id != uid; };
+  for (std::size_t i = 0; i < list.hosts.size(); ++i) assign_endpoint(list.endpoints[i], list.hosts[i]);
+  const auto is_replaced = [&](const Endpoint& endpoint, const std::string& uid) {
+    return host_by_endpoint.at(endpoint).id != uid;
+  };
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     load_balancer::Host& host = list.hosts[i];
-    if (host.state != load_balancer::HostState::Gone && lost(list.endpoints[i], host.id)) {
+    if (host.state != load_balancer::HostState::Gone && is_replaced(list.endpoints[i], host.id)) {
       host.state = load_balancer::HostState::Gone;
     }
   }
   std::vector<load_balancer::Host> replaced;
   for (const auto& [uid, known] : listed_) {
-    if (!list.full && !named.count(uid) && lost(known.endpoint, uid)) replaced.push_back(known.host);
+    if (!list.full && !index_by_id.count(uid) && is_replaced(known.endpoint, uid))
+      replaced.push_back(known.host);
   }
   for (load_balancer::Host& host : replaced) {
     host.state = load_balancer::HostState::Gone;
@@ -83,11 +87,11 @@
 }
 
 void Pool::applyHosts(const HostList& list) {
-  std::map<std::string, Listed, std::less<>> left;
-  if (list.full) left.swap(listed_);
+  std::map<std::string, ListedHost, std::less<>> removed;
+  if (list.full) removed.swap(listed_);
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     const load_balancer::Host& host = list.hosts[i];
-    left.erase(host.id);
+    removed.erase(host.id);
     if (host.state == load_balancer::HostState::Gone) {
       upstream_.removeHost(host.id);
       listed_.erase(host.id);
@@ -96,23 +100,23 @@
       listed_[host.id] = {host, list.endpoints[i]};
     }
   }
-  for (const auto& [uid, known] : left) upstream_.removeHost(uid);
+  for (const auto& [uid, known] : removed) upstream_.removeHost(uid);
 }
 
-void Pool::onHostList(const HostList& news) {
-  if (!news.unread.empty()) log("discovery: an entry is passed over: " + news.complaint, LogLevel::Warning);
-  applyList(news, news.full ? ListKind::Full : ListKind::Changes);
+void Pool::onHostList(const HostList& update) {
+  if (!update.unread.empty()) log("discovery: entry ignored: " + update.complaint, LogLevel::Warning);
+  applyList(update, update.full ? ListKind::Full : ListKind::Changes);
 }
 
-void Pool::applyList(HostList news, ListKind kind) {
-  const HostList list = mergedWithKnown(std::move(news));
+void Pool::applyList(HostList update, ListKind kind) {
+  const HostList list = mergedWithKnown(std::move(update));
   applyHosts(list);
   dispatch([this, list, kind](Time now) { balancer_.onServers(now, kind, list.hosts, actions_); });
 }
 
 void Pool::onDiscoveryLost(const std::string& why) {
   log("discovery: " + why, LogLevel::Warning);
-  if (pushed()) timers_.after(Discovery::kAgentAgain, [this] { discovery_->subscribe(); });
+  if (usesPush()) timers_.after(Discovery::kAgentAgain, [this] { discovery_->subscribe(); });
   dispatch([this](Time now) { balancer_.onServers(now, ListKind::Unavailable, {}, actions_); });
 }
 
--- a/tests/late_connection_test.cpp
+++ b/tests/late_connection_test.cpp
@@ -230,7 +230,7 @@
 TEST_F(LateConnection, TheClientLeavesMeanwhileAndNothingIsSent) {
   pool->start(onlyLate());
   ask(1);
-  pool->clientGone(1);
+  pool->onClientDisconnected(1);
   comesUp();
   ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
   EXPECT_EQ(late.heard(), "");
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -109,8 +109,8 @@
   const auto pool = make("", {host.endpoint()});
   pool->open(taken(1, true));
   ASSERT_TRUE(loop.until([&] { return asked(host, 1); }));
-  pool->clientGone(1);
-  pool->clientGone(1);
+  pool->onClientDisconnected(1);
+  pool->onClientDisconnected(1);
   ASSERT_TRUE(loop.until([&] { return sink.over[1] == 1; }));
   EXPECT_EQ(sink.answers[1], 0);
   EXPECT_EQ(pool->openRequests(), 0U);
