--- a/src/front/configured_limits.cpp
+++ b/src/front/configured_limits.cpp
@@ -10,18 +10,19 @@
 
 using load_balancer::Idempotency;
 
-// The console's: its connections, its listener, and one that is about to make room for another.
+// The console's connections, its listener, and one connection that is about to replace another.
 constexpr std::size_t kConsoleDescriptors = console::ConsoleServer::kMostConnections + 2;
 
 constexpr std::size_t kMegabyte = std::size_t{1024} * 1024;
 
-// Clients' own repeats that may be open whatever else is: what a few failing hosts lead to.
-constexpr std::size_t kLeastRetries = 64;
+// Client retries that may be open in any case: about as many as a few failing hosts cause.
+constexpr std::size_t kMinRetries = 64;
 
-constexpr Time kLongestKept = 60 * kSecond;  // what may have run is remembered for, whatever classes say
+// Records of requests that may have run are kept no longer than this, whatever the class settings.
+constexpr Time kMaxRecordLifetime = 60 * kSecond;
 
-// Never more than a second.
-Time shortestAim(const load_balancer::Settings& settings) {
+// At most one second.
+Time shortestLatencyObjective(const load_balancer::Settings& settings) {
   Time latency_objective = kSecond;
   for (const load_balancer::RequestClass& c : settings.classes)
     latency_objective = std::min(latency_objective, c.latency_objective);
@@ -39,7 +40,7 @@
 Server::Limits serverLimits(const Config& config, std::size_t descriptors) {
   Server::Limits limits;
   limits.body_bytes = std::max<std::size_t>(config.memory_mb * kMegabyte / 4, kMostBody);
-  limits.connections.most = descriptors;  // fewer where hosts use their share
+  limits.connections.most = descriptors;  // fewer while hosts use their share
   limits.connections.overflow = std::max<std::size_t>(descriptors / 16, 4);
   limits.connections.kept = config.own.idle_kept.value_or(std::max<std::size_t>(descriptors / 24, 8));
   limits.connections.most = config.own.connections.value_or(limits.connections.most);
@@ -52,17 +53,17 @@
   return limits;
 }
 
-std::vector<admission::RequestGate::Share> sharesOf(
-    const std::vector<std::string>& names, const std::vector<std::string>& of,
+std::vector<admission::RequestGate::Share> reorderShares(
+    const std::vector<std::string>& names, const std::vector<std::string>& share_names,
     const std::vector<admission::RequestGate::Share>& shares) {
-  std::vector<admission::RequestGate::Share> out;
-  if (shares.empty()) return out;
+  std::vector<admission::RequestGate::Share> reordered;
+  if (shares.empty()) return reordered;
   for (const std::string& name : names) {
-    const auto it = std::find(of.begin(), of.end(), name);
-    out.push_back(it == of.end() ? admission::RequestGate::Share{}
-                                 : shares[static_cast<std::size_t>(it - of.begin())]);
+    const auto it = std::find(share_names.begin(), share_names.end(), name);
+    reordered.push_back(it == share_names.end() ? admission::RequestGate::Share{}
+                                                : shares[static_cast<std::size_t>(it - share_names.begin())]);
   }
-  return out;
+  return reordered;
 }
 
 admission::RequestGate::Limits requestLimits(const Config& config) {
@@ -79,23 +80,23 @@
     for (const load_balancer::Tenant& t : settings.tenants)
       limits.tenants.push_back({.weight = std::max(t.quota, 0.01)});
   }
-  limits.retries_least = own.retries_least.value_or(kLeastRetries);
+  limits.retries_least = own.retries_least.value_or(kMinRetries);
   limits.retries_part = own.retries_part.value_or(1);
   if (settings.retry_after) {
-    limits.advice_least = shortestAim(settings) / 8;
+    limits.advice_least = shortestLatencyObjective(settings) / 8;
     limits.advice_most = settings.max_retry_after;
   }
   return limits;
 }
 
-admission::DuplicateDetector::Limits repeatLimits(const Config& config) {
+admission::DuplicateDetector::Limits duplicateDetectorLimits(const Config& config) {
   admission::DuplicateDetector::Limits limits;
   limits.kept = 0;
   for (const load_balancer::RequestClass& c : config.site.settings.classes)
     limits.kept =
         std::max({limits.kept, c.deadline,
                   c.idempotency == Idempotency::IdempotentWithKey ? 2 * c.deduplication_window : 0});
-  limits.kept = std::min(limits.kept, kLongestKept);
+  limits.kept = std::min(limits.kept, kMaxRecordLifetime);
   limits.bytes = config.memory_mb * kMegabyte / 128;
   return limits;
 }
@@ -104,10 +105,11 @@
   Upstream::Limits limits;
   limits.idle = config.site.idle;
   limits.health_check_load = config.site.reports;
-  // Answers are small and written at once; what stops half-way is worth a part of the aim at most.
-  const Time latency_objective = shortestAim(config.site.settings);
+  // Responses are small and written at once, so one that stalls half-way gets only part of the latency
+  // objective.
+  const Time latency_objective = shortestLatencyObjective(config.site.settings);
   limits.answer_whole = std::max(latency_objective / 4, 20 * kMillisecond);
-  // A machine that has vanished must leave time for another; hosts are never far away.
+  // Connecting to an unreachable machine must leave time to try another; the network distance is small.
   limits.connect_timeout =
       std::min(config.site.connect_timeout, std::max(latency_objective / 4, 20 * kMillisecond));
   limits.idle = config.own.upstream_idle.value_or(limits.idle);
@@ -117,27 +119,28 @@
   return limits;
 }
 
-std::size_t budgetOf(const Config& config) {
-  const std::size_t own = kOwnDescriptors + (config.console ? kConsoleDescriptors : 0);
-  return config.sockets > 2 * own ? config.sockets - own : own;
+std::size_t descriptorBudget(const Config& config) {
+  const std::size_t reserved = kReservedDescriptors + (config.console ? kConsoleDescriptors : 0);
+  return config.sockets > 2 * reserved ? config.sockets - reserved : reserved;
 }
 
 void Proxy::Registry::assign(const Config& config) {
   const load_balancer::Settings& settings = config.site.settings;
-  admission::IndexRegistry<load_balancer::RequestClass>::Named classes_now;
+  admission::IndexRegistry<load_balancer::RequestClass>::Named named_classes;
   for (std::size_t i = 0; i < config.site.classes.size(); ++i) {
-    classes_now.emplace_back(config.site.classes[i], settings.classes[i]);
-    // As many attempts as when it came, also after a reload that says otherwise.
-    std::int32_t& attempts = classes_now.back().second.max_attempts;
+    named_classes.emplace_back(config.site.classes[i], settings.classes[i]);
+    // Resolves the default here: a request keeps its number of attempts even if a reload changes the default.
+    std::int32_t& attempts = named_classes.back().second.max_attempts;
     if (attempts == 0) attempts = settings.max_attempts;
   }
-  classes.assign(classes_now);
-  admission::IndexRegistry<TenantInfo>::Named tenants_now;
-  for (const std::string& name : config.site.tenants) tenants_now.emplace_back(name, TenantInfo{});
-  tenants.assign(tenants_now);
+  classes.assign(named_classes);
+  admission::IndexRegistry<TenantInfo>::Named named_tenants;
+  for (const std::string& name : config.site.tenants) named_tenants.emplace_back(name, TenantInfo{});
+  tenants.assign(named_tenants);
 }
 
-// By number. One that no name means any more is what it was, for the requests that came under it.
+// In the order of indices. A class that is no longer in the configuration keeps its settings, for the
+// requests that were admitted under it.
 load_balancer::Settings Proxy::Registry::settings(const Config& config) const {
   load_balancer::Settings s = config.site.settings;
   s.classes.clear();
@@ -145,23 +148,23 @@
     s.classes.push_back(classes.at(static_cast<std::int32_t>(i)));
   s.tenants.assign(tenants.size(), {});
   for (std::size_t i = 0; i < config.site.tenants.size(); ++i) {
-    if (const auto number = tenants.find(config.site.tenants[i]))
-      s.tenants[static_cast<std::size_t>(*number)] = config.site.settings.tenants[i];
+    if (const auto index = tenants.find(config.site.tenants[i]))
+      s.tenants[static_cast<std::size_t>(*index)] = config.site.settings.tenants[i];
   }
   return s;
 }
 
 admission::RequestGate::Limits Proxy::Registry::limits(const Config& config) const {
   admission::RequestGate::Limits limits = requestLimits(config);
-  const auto by_number = [](const auto& indices, const std::vector<std::string>& names, const auto& shares) {
+  const auto by_index = [](const auto& indices, const std::vector<std::string>& names, const auto& shares) {
     std::vector<admission::RequestGate::Share> out(indices.size());
     for (std::size_t i = 0; i < std::min(names.size(), shares.size()); ++i) {
-      if (const auto number = indices.find(names[i])) out[static_cast<std::size_t>(*number)] = shares[i];
+      if (const auto index = indices.find(names[i])) out[static_cast<std::size_t>(*index)] = shares[i];
     }
     return out;
   };
-  limits.classes = by_number(classes, config.site.classes, limits.classes);
-  limits.tenants = by_number(tenants, config.site.tenants, limits.tenants);
+  limits.classes = by_index(classes, config.site.classes, limits.classes);
+  limits.tenants = by_index(tenants, config.site.tenants, limits.tenants);
   return limits;
 }
 
--- a/src/front/configured_limits.h
+++ b/src/front/configured_limits.h
@@ -1,4 +1,4 @@
-// What the settings mean for each part of the front, in its own terms.
+// Translates the configuration into the limits of the parts of the front.
 #pragma once
 
 #include <cstddef>
@@ -13,21 +13,27 @@
 
 namespace client_proxy {
 
-// Descriptors that are neither a client's nor a host's: standard streams, the loop's own, the listener,
-// signals, discovery, and some to spare.
-constexpr std::size_t kOwnDescriptors = 24;
+// Descriptors reserved for everything but client and host connections: standard streams, the event loop, the
+// listener, signals, discovery, and some to spare.
+constexpr std::size_t kReservedDescriptors = 24;
 
+// The longest deadline of all request classes.
 Time longestDeadline(const load_balancer::Settings& settings);
+// `descriptors`: the limit that client and host connections share.
 Server::Limits serverLimits(const Config& config, std::size_t descriptors);
-// Shares by name, in the order of `names`; `shares` are in the order of `of`.
-std::vector<admission::RequestGate::Share> sharesOf(const std::vector<std::string>& names,
-                                                    const std::vector<std::string>& of,
-                                                    const std::vector<admission::RequestGate::Share>& shares);
-// Classes and tenants in the configuration's order.
+// Reorders `shares`, which belong to `share_names`, to the order of `names`. A name without a share gets the
+// default share; no shares at all stay none.
+std::vector<admission::RequestGate::Share> reorderShares(
+    const std::vector<std::string>& names, const std::vector<std::string>& share_names,
+    const std::vector<admission::RequestGate::Share>& shares);
+// Classes and tenants are in the order of the configuration.
 admission::RequestGate::Limits requestLimits(const Config& config);
-// No client repeats later than its class's deadline, and no host drops repeats for longer than its window.
-admission::DuplicateDetector::Limits repeatLimits(const Config& config);
+// Requests are remembered for the longest class deadline, after which no client retries, and for twice the
+// longest deduplication window of a host, up to a fixed maximum.
+admission::DuplicateDetector::Limits duplicateDetectorLimits(const Config& config);
+// Timeouts that are not configured are derived from the shortest latency objective of all classes.
 Upstream::Limits upstreamLimits(const Config& config);
-std::size_t budgetOf(const Config& config);
+// The descriptors that client and host connections may use together.
+std::size_t descriptorBudget(const Config& config);
 
 }  // namespace client_proxy
--- a/src/front/include/front/proxy.h
+++ b/src/front/include/front/proxy.h
@@ -1,5 +1,5 @@
-// The front: the listener, who is let in, which class a request is of, and what a reload means. Requests that
-// were let in go to the pool, which answers each of them once.
+// The front of the proxy: the client listener, admission, classification of requests and configuration
+// reload. Admitted requests go to the pool, which answers each of them exactly once.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,79 +30,83 @@
   Proxy(boost::asio::io_context& io, Config config, Log& log, const Clock& clock);
   ~Proxy() override;
 
-  // Before start(): who says which requests one site alone may run; must outlive it.
+  // Sets which requests only one site may run; must outlive the proxy. Call before start().
   void setGate(ServiceGate* gate) {
     gate_ = gate;
     pool_.setGate(gate);
   }
-  // Tells the module the known hosts, then listens.
+  // Listens, and gives the pool the known hosts.
   void start();
-  // The same with what the process before this one knew.
+  // The same for a hot restart, with the state of the previous process.
   void start(hot_restart::State state);
-  // What the process after this one is to know.
+  // The state handed over to the next process in a hot restart.
   hot_restart::State state() const;
-  // That one serves now: nobody is accepted here, and it gets each client's connection at rest.
+  // The successor serves now: this process stops accepting and passes each client connection to it as soon as
+  // that is idle.
   void handOn(hot_restart::Successor successor);
-  // It has gone: serve as before.
+  // The successor exited: serves as before.
   void rollBack();
-  // A client's connection at rest, from the process before this one.
+  // Takes over an idle client connection from the previous process.
   void adopt(int descriptor) { server_.adopt(descriptor); }
-  // What may not run a second time here, from the process before this one.
+  // Requests known to the previous process that must not run a second time here.
   void recordPredecessorRequests(std::vector<admission::RequestRecord> tried);
-  // Nothing is left here.
+  // No client connection and no request is left here.
   bool idle() const { return remainingConnections() == 0 && pool_.openRequests() == 0; }
-  // Of clients and hosts, and the process's own.
+  // File descriptors in use: client and host connections, and those of the process itself.
   std::size_t descriptorsHeld() const;
-  // Another process holds so many of those that both may hold together.
+  // During a hot restart: the other process holds this many of the descriptors that both share.
   void setDescriptorsHeldByOther(std::size_t descriptors);
 
-  // Graceful: goes on accepting while new connections may still come, finishes what was taken; then `done`.
+  // Graceful shutdown: keeps accepting while new connections may still arrive, finishes the requests it has,
+  // then calls `done`.
   void shutdown(std::function<void()> done);
-  // The configuration was replaced: all of it is taken, or nothing and std::exception is thrown. Requests
-  // that are in flight or wait end under what they began with; what is known of hosts stays. The platform's
-  // part is as at start, but for discovery's address. What can't change while running (the listener, the
-  // client's number and zone, sockets, memory) is as at start too: the caller tells.
+  // Applies a new configuration as a whole, or throws std::exception and changes nothing. Requests in flight
+  // or waiting finish under the settings they began with; the known state of hosts is kept. With a platform
+  // configuration, the platform's part stays as at start, except the discovery endpoint. What can't change at
+  // run time stays too (listener, client number and zone, sockets, memory); the caller reports that.
   void reload(Config next);
-  // Alone: the whole list of hosts is this from now on; zones by zones().
+  // Replaces the whole host list, in a configuration without a platform. Resolve its zones with zones().
   void setHosts(HostList list);
   Zones& zones() { return config_.zones; }
 
-  // ---- by hand (docs/on-call.md) ----
+  // ---- operator commands (docs/on-call.md) ----
 
-  // This process can serve: it listens and has had a list of hosts.
+  // Ready to serve: it listens and has received a host list.
   bool canServe() const { return lifecycle_.serves() && pool_.hostCounts().listed > 0; }
-  // Nothing new to this host, or again. False: no host has this id.
+  // Takes a host out of use: it gets no new requests until enableHost(). Returns false if no host has this
+  // id.
   bool disableHost(const std::string& host) { return pool_.disableHost(host); }
   bool enableHost(const std::string& host) { return pool_.enableHost(host); }
-  // What the fleet holds of a zone, and what this proxy has seen of it: as Balancer's, by name.
-  void setZone(const std::string& zone, load_balancer::ZoneDirective order) {
-    pool_.setZone(config_.zones.indexOf(zone), order);
+  // The fleet's directive for a zone, and this proxy's observation of it: as in Balancer, with zones by name.
+  void setZone(const std::string& zone, load_balancer::ZoneDirective directive) {
+    pool_.setZone(config_.zones.indexOf(zone), directive);
   }
   load_balancer::ZoneObservation observeZone(const std::string& zone, Time now,
                                              const load_balancer::ZoneObservedSince& since) {
     return pool_.observeZone(config_.zones.indexOf(zone), now, since);
   }
   std::vector<std::string> zoneNames() const { return config_.zones.names(); }
-  // What the listed hosts of each zone can take: the sum of their capacities.
+  // The sum of the capacities of the healthy hosts of each zone.
   std::map<std::string, double> zoneCapacities() const {
-    std::map<std::string, double> rooms;
+    std::map<std::string, double> capacities;
     for (const load_balancer::Host& h : pool_.hosts().hosts) {
-      if (h.state == load_balancer::HostState::Healthy) rooms[config_.zones.nameOf(h.zone)] += h.capacity;
+      if (h.state == load_balancer::HostState::Healthy)
+        capacities[config_.zones.nameOf(h.zone)] += h.capacity;
     }
-    return rooms;
+    return capacities;
   }
-  // The front is told to send clients elsewhere; their connections are closed with their answers, and those
-  // that rest before long. Listening goes on. Either may be called twice.
+  // Draining: /healthz answers 503 so that clients are sent elsewhere, each answer closes its connection, and
+  // idle connections are closed soon after. The listener stays open. Both are idempotent.
   void drainClients();
   void undrainClients();
   bool drained() const { return lifecycle_.drained(); }
-  // In Prometheus' text format.
+  // Metrics in the Prometheus text format.
   std::string stats() const;
-  // Requests that were let in since the start.
+  // The number of requests admitted since start.
   std::uint64_t admitted() const { return rejection_counters_.total(admission::RejectionReason::None); }
 
   Endpoint localEndpoint() const { return server_.localEndpoint(); }
-  // What admission has decided and what it goes by, as JSON: docs/admission.md explains it.
+  // Admission decisions and the state behind them, as JSON; docs/admission.md describes the fields.
   std::string admissionReport();
   std::size_t openRequests() const { return pool_.openRequests(); }
   const admission::RequestGate& requests() const { return requests_; }
@@ -115,10 +119,10 @@
     Time deadline = 0;
     load_balancer::Idempotency idempotency = load_balancer::Idempotency::NonIdempotent;
   };
-  struct TenantInfo {  // what changes of a tenant is taken at once
+  struct TenantInfo {  // empty: every change to a tenant applies at once
     bool operator==(const TenantInfo&) const = default;
   };
-  struct Registry {  // classes by the path's first part, tenants by account
+  struct Registry {  // classes by first path segment, tenants by account
     admission::IndexRegistry<load_balancer::RequestClass> classes;
     admission::IndexRegistry<TenantInfo> tenants;
     explicit Registry(const Config& config) { assign(config); }
@@ -126,19 +130,19 @@
     load_balancer::Settings settings(const Config& config) const;
     admission::RequestGate::Limits limits(const Config& config) const;
   };
-  struct ServiceClaim {  // by a service, and where it may run
+  struct ServicePlacement {  // the service of a request and the zone that may run it
     ServiceGate::Service service = 0;
     std::string zone;
   };
-  struct QueuedRequest {  // waits for a place
+  struct QueuedRequest {  // waits for a permit
     ClientRequest request;
     ClassInfo info;
     admission::AdmissionRequest admission_request;
-    Time uploaded = 0;  // when the last byte of a long one came; 0: not yet
-    std::optional<ServiceClaim> service_claim = {};
+    Time upload_completed_at = 0;  // of a long request; 0: not yet
+    std::optional<ServicePlacement> placement = {};
   };
 
-  // What server and pool report.
+  // Callbacks of the server and the pool.
   std::optional<Answer> onHead(const RequestHead& head, bool room) override;
   void onRequest(ExchangeId id, ClientRequest request) override;
   void onUploaded(ExchangeId id, Time received) override;
@@ -153,32 +157,33 @@
   admission::AdmissionRequest admissionRequestOf(ExchangeId id, const RequestHead& head,
                                                  const ClassInfo& info, std::size_t bytes,
                                                  Time deadline) const;
-  // A request's final answer.
-  void conclude(ExchangeId id, std::int32_t request_class, Answer answer);
-  // Tells the life cycle, and carries out what follows.
+  // Counts a request's final answer and passes it to the server.
+  void sendFinalAnswer(ExchangeId id, std::int32_t request_class, Answer answer);
+  // Passes an event to the life cycle and executes the steps that follow from it.
   template <typename Event>
   void withLifecycle(Event event);
-  void carryOut(const lifecycle::Step& step);
-  // Connections that would be lost if this process left.
+  void executeStep(const lifecycle::Step& step);
+  // Connections that would be lost if this process exited.
   std::size_t remainingConnections() const {
     return server_.connections() + (successor_.waiting ? successor_.waiting() : 0);
   }
-  void awaitLifecycle();
-  void answerAll(Time by);
+  void armLifecycleTimer();
+  void setShutdownDeadline(Time by);
   Answer rejection(const admission::AdmissionRequest& admission_request, admission::RejectionReason reason);
-  // By its service: nothing, or why it is refused at once.
+  // The checks of a request's service. Returns the answer if the request is rejected at once; otherwise sets
+  // `placement` if only one site may run the request.
   std::optional<Answer> rejectionBeforeAdmission(const RequestHead& head, const ClassInfo& info,
                                                  const admission::AdmissionRequest& admission_request,
-                                                 std::optional<ServiceClaim>& service_claim);
+                                                 std::optional<ServicePlacement>& placement);
   void rejectWaiting(const std::vector<admission::Refusal>& rejected);
   void admitWaiting();
-  void awaitPermits();
+  void armPermitTimer();
   void releasePermit(ExchangeId id);
   void logSummary();
   void listen();
   std::optional<ClassInfo> classOf(std::string_view target) const;
   void open(const admission::AdmissionRequest& admission_request, ClientRequest request,
-            const ClassInfo& info, const std::optional<ServiceClaim>& service_claim);
+            const ClassInfo& info, const std::optional<ServicePlacement>& placement);
   void acquireIndices(const admission::AdmissionRequest& admission_request);
   void releaseIndices(const ClientRequest& request, std::int32_t request_class, std::int32_t tenant,
                       bool may_have_run = false);
@@ -191,7 +196,7 @@
   Registry registry_;
   Log& log_;
   const Clock& clock_;
-  Time predecessor_clock_shift_ = 0;  // from the times of the process before this one to ours
+  Time predecessor_clock_shift_ = 0;  // added to times of the previous process
   Timers timers_;
   Descriptors descriptors_;
   Server server_;
@@ -202,14 +207,15 @@
   admission::RejectionCounters rejection_counters_;
   metrics::RequestCounters counts_;
   std::unordered_map<ExchangeId, QueuedRequest> waiting_;
-  std::unordered_map<ExchangeId, Time> uploads_;           // how long each client waits after its last byte
-  std::unordered_map<ExchangeId, std::int32_t> streamed_;  // classes of the long answers on their way
-  Time permits_due_ = kNever;                              // when the gate is asked again for sure
-  bool permits_released_ = false;                          // it will be asked in this turn of the loop
+  std::unordered_map<ExchangeId, Time>
+      time_after_upload_;  // of uploads in progress: how long the client waits
+  std::unordered_map<ExchangeId, std::int32_t> streaming_;  // classes of the responses being streamed
+  Time permit_timer_due_ = kNever;                          // the earliest timer set for admitWaiting()
+  bool admission_posted_ = false;                           // admitWaiting() is posted to the event loop
   lifecycle::Lifecycle lifecycle_;
-  Time shutdown_deadline_ = kNever;   // nothing may be open longer: the process has to leave
-  Time lifecycle_due_ = kNever;       // when it is asked again for sure
-  hot_restart::Successor successor_;  // while another process serves
+  Time shutdown_deadline_ = kNever;    // no request stays open beyond this
+  Time lifecycle_timer_due_ = kNever;  // the earliest timer set for the life cycle
+  hot_restart::Successor successor_;   // while another process serves
   std::function<void()> done_;
   ServiceGate* gate_ = nullptr;
 };
--- a/src/front/proxy.cpp
+++ b/src/front/proxy.cpp
@@ -1,3 +1,4 @@
+// The path of a request through the front: class, duplicate check, admission, pool, answer; and reload.
 #include "front/proxy.h"
 
 #include <algorithm>
@@ -16,12 +17,12 @@
 using admission::RejectionReason;
 using load_balancer::Idempotency;
 
-constexpr std::size_t kRequestCost = 1024;       // bytes that an open request holds beside its head and body
-constexpr Time kLongestUpload = 3600 * kSecond;  // its pace is the server's to watch
-constexpr Time kSummary = 10 * kSecond;          // between two lines on what was turned away
+constexpr std::size_t kRequestOverhead = 1024;   // bytes held by an open request beside its head and body
+constexpr Time kMaxUploadTime = 3600 * kSecond;  // a stalled upload is the server's to detect
+constexpr Time kSummaryInterval = 10 * kSecond;  // between two log lines about rejections
 
-// A connection without an open request may be closed after this, says the protocol's later page.
-constexpr Time kMayBeClosed = 2 * kSecond;
+// The protocol allows closing a client connection that has had no open request for this long.
+constexpr Time kMinIdleBeforeClose = 2 * kSecond;
 
 }  // namespace
 
@@ -43,16 +44,17 @@
       log_(log),
       clock_(clock),
       timers_(io, clock),
-      descriptors_(clock, budgetOf(config_)),
+      descriptors_(clock, descriptorBudget(config_)),
       server_(io, timers_, descriptors_, log, *this, serverLimits(config_, descriptors_.limit())),
       pool_(io, timers_, descriptors_, log, config_.zones, *this,
             poolConfig(config_, registry_.settings(config_))),
-      duplicates_(repeatLimits(config_)),
+      duplicates_(duplicateDetectorLimits(config_)),
       requests_(registry_.limits(config_)),
       rejection_counters_(registry_.classes.size(), registry_.tenants.size()),
       lifecycle_(longestDeadline(config_.site.settings)) {
-  // Clients that only stay are cheaper to lose than connections to hosts, which cost these work to open.
-  descriptors_.addReclaimer(Side::Clients, [this] { return server_.closeOneIdle(kMayBeClosed); });
+  // In order of cost: idle clients past the minimum, idle connections to hosts, which cost the hosts work to
+  // reopen, then any idle client.
+  descriptors_.addReclaimer(Side::Clients, [this] { return server_.closeOneIdle(kMinIdleBeforeClose); });
   descriptors_.addReclaimer(Side::Hosts, [this] { return pool_.closeOneIdle(); });
   descriptors_.addReclaimer(Side::Clients, [this] { return server_.closeOneIdle(); });
 }
@@ -62,7 +64,7 @@
 void Proxy::listen() {
   config_.inherited ? server_.listenOn(*config_.inherited) : server_.listen(config_.listen);
   lifecycle_.onListening();
-  timers_.after(kSummary, [this] { logSummary(); });
+  timers_.after(kSummaryInterval, [this] { logSummary(); });
 }
 
 void Proxy::start() {
@@ -70,11 +72,11 @@
   pool_.start(std::exchange(config_.known, {}));
 }
 
-std::size_t Proxy::descriptorsHeld() const { return descriptors_.used() + kOwnDescriptors; }
+std::size_t Proxy::descriptorsHeld() const { return descriptors_.used() + kReservedDescriptors; }
 
 void Proxy::setDescriptorsHeldByOther(std::size_t descriptors) {
-  const std::size_t all = budgetOf(config_);
-  descriptors_.setLimit(all - std::min(descriptors, all / 2));
+  const std::size_t budget = descriptorBudget(config_);
+  descriptors_.setLimit(budget - std::min(descriptors, budget / 2));
 }
 
 // ---- requests ----
@@ -86,13 +88,13 @@
   return ClassInfo{*index, c.deadline, c.idempotency};
 }
 
-// What is in flight or waits goes by these numbers to its end.
+// A request in flight or waiting uses its class and tenant indices until it is done.
 void Proxy::acquireIndices(const admission::AdmissionRequest& admission_request) {
   registry_.classes.acquire(admission_request.request_class);
   registry_.tenants.acquire(admission_request.tenant);
 }
 
-// It is over, or was never let in: its numbers are free.
+// The request is done or was never admitted: its indices may be reused.
 void Proxy::releaseIndices(const ClientRequest& request, std::int32_t request_class, std::int32_t tenant,
                            bool may_have_run) {
   onRequestDone(request.head.correlation, may_have_run);
@@ -135,37 +137,39 @@
 }
 
 void Proxy::onRequest(ExchangeId id, ClientRequest request) {
-  // A reload may have come between its head and its last byte.
+  // A reload may have happened between the head of the request and its last byte.
   const std::optional<ClassInfo> info = classOf(request.head.target);
   if (!info) return server_.answer(id, plainAnswer(404));
   if (const auto fault = faultOf(request.head, info->idempotency))
-    return conclude(id, info->index, plainAnswer(fault->status));
-  // No longer than the class allows, whatever the client says: what is kept for a request must not outlive
-  // it.
+    return sendFinalAnswer(id, info->index, plainAnswer(fault->status));
+  // At most the deadline of the class, even if the client announces more: duplicate records are kept for no
+  // longer than the longest deadline.
   const Time left =
       std::min(request.head.has_time_left ? parseSeconds(request.head.time_left).value_or(0) : info->deadline,
                info->deadline);
-  // Of a long request only the beginning is here; its client's time runs from its last byte.
+  // Only the start of a long request has arrived; its client's deadline counts from its last byte.
   const Time deadline =
-      std::min(request.received + (request.rest ? kLongestUpload : left), shutdown_deadline_);
+      std::min(request.received + (request.rest ? kMaxUploadTime : left), shutdown_deadline_);
   if (left > 0 && clock_.now() >= shutdown_deadline_)
-    return conclude(id, info->index,
-                    rejection(admissionRequestOf(id, request.head, *info, 0, 0), RejectionReason::Shutdown));
+    return sendFinalAnswer(
+        id, info->index,
+        rejection(admissionRequestOf(id, request.head, *info, 0, 0), RejectionReason::Shutdown));
   if (left <= 0 || deadline <= clock_.now())
-    return conclude(id, info->index, plainAnswer(504));  // over before it was read
+    return sendFinalAnswer(id, info->index, plainAnswer(504));  // expired before it was read
   const std::size_t bytes = (request.body ? request.body->size() : 0) + request.head.forward.size();
   const admission::AdmissionRequest admission_request =
       admissionRequestOf(id, request.head, *info, bytes, deadline);
-  std::optional<ServiceClaim> service_claim;
-  if (auto answer = rejectionBeforeAdmission(request.head, *info, admission_request, service_claim))
-    return conclude(id, info->index, std::move(*answer));
-  // Two open requests of one id: hosts could not tell them apart, nor could their answers be told apart. The
-  // first one's attempts count too, also after its answer; and what may have run must not run again. It would
-  // harm clients that reuse an id, or a key for another request, within seconds.
+  std::optional<ServicePlacement> placement;
+  if (auto answer = rejectionBeforeAdmission(request.head, *info, admission_request, placement))
+    return sendFinalAnswer(id, info->index, std::move(*answer));
+  // Rejects a request whose correlation id or idempotency key belongs to an open request, or to a recent one
+  // that may have run: neither the requests nor their answers could be told apart, and what may have run must
+  // not run again. A request counts as open while any of its attempts is in flight, even after its answer.
+  // Clients that reuse an id, or a key for another request, within seconds are rejected too.
   const admission::RequestRecord record = requestRecordOf(request.head, info->index);
   if (duplicates_.offer(clock_.now(), record) != admission::DuplicateDetector::Verdict::New)
-    return conclude(id, info->index, plainAnswer(409));
-  if (request.rest) uploads_[id] = left;
+    return sendFinalAnswer(id, info->index, plainAnswer(409));
+  if (request.rest) time_after_upload_[id] = left;
   std::vector<admission::Refusal> displaced;
   const admission::Verdict verdict = requests_.offer(clock_.now(), admission_request, displaced);
   switch (verdict.entry) {
@@ -173,23 +177,23 @@
       acquireIndices(admission_request);
       rejection_counters_.note(RejectionReason::None, admission_request.request_class,
                                admission_request.tenant);
-      open(admission_request, std::move(request), *info, service_claim);
+      open(admission_request, std::move(request), *info, placement);
       break;
     case admission::Entry::Waits:
       acquireIndices(admission_request);
-      waiting_.emplace(id, QueuedRequest{std::move(request), *info, admission_request, 0, service_claim});
+      waiting_.emplace(id, QueuedRequest{std::move(request), *info, admission_request, 0, placement});
       break;
     case admission::Entry::Refused:
       onRequestDone(request.head.correlation, false);
-      uploads_.erase(id);
-      conclude(id, info->index, rejection(admission_request, verdict.reason));
+      time_after_upload_.erase(id);
+      sendFinalAnswer(id, info->index, rejection(admission_request, verdict.reason));
       break;
   }
   rejectWaiting(displaced);
-  awaitPermits();
+  armPermitTimer();
 }
 
-// ---- admission: who gets a place, before the module hears of a request ----
+// ---- admission: decided before the pool sees a request ----
 
 admission::AdmissionRequest Proxy::admissionRequestOf(ExchangeId id, const RequestHead& head,
                                                       const ClassInfo& info, std::size_t bytes,
@@ -197,12 +201,12 @@
   return {.id = id,
           .request_class = info.index,
           .tenant = registry_.tenants.find(head.account).value_or(load_balancer::kUnset),
-          .bytes = bytes + kRequestCost,
+          .bytes = bytes + kRequestOverhead,
           .deadline = deadline,
           .retry = head.repeat};
 }
 
-// Nothing was sent for it yet: trying again is harmless, whatever its class.
+// The request was not sent to any host: a retry is safe for every class.
 Answer Proxy::rejection(const admission::AdmissionRequest& admission_request, RejectionReason reason) {
   rejection_counters_.note(reason, admission_request.request_class, admission_request.tenant);
   Answer answer = plainAnswer(503);
@@ -212,23 +216,23 @@
 
 std::optional<Answer> Proxy::rejectionBeforeAdmission(const RequestHead& head, const ClassInfo& info,
                                                       const admission::AdmissionRequest& admission_request,
-                                                      std::optional<ServiceClaim>& service_claim) {
+                                                      std::optional<ServicePlacement>& placement) {
   if (gate_ == nullptr) return std::nullopt;
-  const auto later = [&](RejectionReason reason, Time wait) {
+  const auto reject_for = [&](RejectionReason reason, Time wait) {
     Answer answer = rejection(admission_request, reason);
-    const Time most = config_.site.settings.max_retry_after;
-    if (config_.site.settings.retry_after && wait > 0) answer.retry_after = std::min(wait, most);
+    const Time max_wait = config_.site.settings.max_retry_after;
+    if (config_.site.settings.retry_after && wait > 0) answer.retry_after = std::min(wait, max_wait);
     return answer;
   };
   const std::string& name = registry_.classes.name(static_cast<std::size_t>(info.index));
   const ServiceGate::Match match = gate_->serviceOf(head, name, info.idempotency);
   if (match.malformed) return plainAnswer(400);
   if (const auto wait = gate_->delayAfterRestart(registry_.classes.at(info.index), match.service.has_value()))
-    return later(RejectionReason::StagedRestart, *wait);
+    return reject_for(RejectionReason::StagedRestart, *wait);
   if (!match.service) return std::nullopt;
   const ServiceGate::Permission permission = gate_->permission(*match.service);
-  if (!permission.allowed) return later(RejectionReason::NoLease, permission.retry_after);
-  service_claim = ServiceClaim{*match.service, permission.zone};
+  if (!permission.allowed) return reject_for(RejectionReason::NoLease, permission.retry_after);
+  placement = ServicePlacement{*match.service, permission.zone};
   return std::nullopt;
 }
 
@@ -239,13 +243,14 @@
     const QueuedRequest queued = std::move(it->second);
     waiting_.erase(it);
     releaseIndices(queued.request, queued.admission_request.request_class, queued.admission_request.tenant);
-    uploads_.erase(r.id);
-    conclude(r.id, queued.admission_request.request_class, rejection(queued.admission_request, r.reason));
+    time_after_upload_.erase(r.id);
+    sendFinalAnswer(r.id, queued.admission_request.request_class,
+                    rejection(queued.admission_request, r.reason));
   }
 }
 
 void Proxy::admitWaiting() {
-  permits_released_ = false;
+  admission_posted_ = false;
   std::vector<admission::RequestKey> admitted;
   std::vector<admission::Refusal> rejected;
   requests_.next(clock_.now(), admitted, rejected);
@@ -256,81 +261,82 @@
     waiting_.erase(it);
     rejection_counters_.note(RejectionReason::None, queued.admission_request.request_class,
                              queued.admission_request.tenant);
-    open(queued.admission_request, std::move(queued.request), queued.info, queued.service_claim);
-    if (queued.uploaded != 0) pool_.onUploadComplete(id, queued.uploaded, queued.admission_request.deadline);
+    open(queued.admission_request, std::move(queued.request), queued.info, queued.placement);
+    if (queued.upload_completed_at != 0)
+      pool_.onUploadComplete(id, queued.upload_completed_at, queued.admission_request.deadline);
   }
-  awaitPermits();
+  armPermitTimer();
 }
 
-// Timers are never withdrawn: a new one is set only where the next is due earlier than any that is set.
-void Proxy::awaitPermits() {
+// Timers can't be cancelled, so a new one is set only if it is due earlier than those already set.
+void Proxy::armPermitTimer() {
   const Time due = requests_.due();
-  if (due >= permits_due_) return;
-  permits_due_ = due;
+  if (due >= permit_timer_due_) return;
+  permit_timer_due_ = due;
   timers_.at(due, [this, due] {
-    if (permits_due_ == due) permits_due_ = kNever;
+    if (permit_timer_due_ == due) permit_timer_due_ = kNever;
     admitWaiting();
   });
 }
 
-// The client has its answer, or has gone: the place is free. Whoever waits for it gets it in the same turn of
-// the loop, but not from within what is going on now.
+// Called when a client has its answer or has disconnected. Waiting requests are admitted in the same
+// iteration of the event loop, but posted rather than called directly, to avoid re-entrancy.
 void Proxy::releasePermit(ExchangeId id) {
   requests_.release(clock_.now(), id);
-  if (requests_.waiting() == 0 || std::exchange(permits_released_, true)) return;
+  if (requests_.waiting() == 0 || std::exchange(admission_posted_, true)) return;
   asio::post(io_, [this] { admitWaiting(); });
 }
 
 void Proxy::logSummary() {
-  const std::string news = rejection_counters_.newsSinceLast(server_.gate().closed());
-  if (!news.empty()) log_.line("admission, last 10 s: " + news);
-  timers_.after(kSummary, [this] { logSummary(); });
+  const std::string summary = rejection_counters_.newsSinceLast(server_.gate().closed());
+  if (!summary.empty()) log_.line("admission, last 10 s: " + summary);
+  timers_.after(kSummaryInterval, [this] { logSummary(); });
 }
 
-// ---- requests that were let in ----
+// ---- admitted requests ----
 
 void Proxy::open(const admission::AdmissionRequest& admission_request, ClientRequest request,
-                 const ClassInfo& info, const std::optional<ServiceClaim>& service_claim) {
-  AdmittedRequest taken{.exchange = admission_request.id,
-                        .request = std::move(request),
-                        .request_class = admission_request.request_class,
-                        .tenant = admission_request.tenant,
-                        .idempotency = info.idempotency,
-                        .deadline = admission_request.deadline,
-                        .time_after_upload = info.deadline};
-  if (service_claim) taken.service = service_claim->service, taken.zone = service_claim->zone;
-  pool_.open(std::move(taken));
+                 const ClassInfo& info, const std::optional<ServicePlacement>& placement) {
+  AdmittedRequest admitted{.exchange = admission_request.id,
+                           .request = std::move(request),
+                           .request_class = admission_request.request_class,
+                           .tenant = admission_request.tenant,
+                           .idempotency = info.idempotency,
+                           .deadline = admission_request.deadline,
+                           .time_after_upload = info.deadline};
+  if (placement) admitted.service = placement->service, admitted.zone = placement->zone;
+  pool_.open(std::move(admitted));
 }
 
 void Proxy::onAnswer(const AdmittedRequest& request, Answer answer) {
   const ExchangeId id = request.exchange;
   const std::int32_t request_class = request.request_class;
-  uploads_.erase(id);
+  time_after_upload_.erase(id);
   releasePermit(id);
   if (gate_ != nullptr)
     gate_->onCompleted({request.request.head, registry_.classes.name(static_cast<std::size_t>(request_class)),
                         request.idempotency, registry_.classes.at(request_class).priority_weight,
                         request.last_zone, request.last_duration, answer.status});
-  conclude(id, request_class, std::move(answer));
+  sendFinalAnswer(id, request_class, std::move(answer));
 }
 
 void Proxy::onUploaded(ExchangeId id, Time received) {
-  const auto it = uploads_.find(id);
-  if (it == uploads_.end()) return;
+  const auto it = time_after_upload_.find(id);
+  if (it == time_after_upload_.end()) return;
   const Time deadline = std::min(received + it->second, shutdown_deadline_);
-  uploads_.erase(it);
+  time_after_upload_.erase(it);
   if (const auto queued = waiting_.find(id); queued != waiting_.end()) {
     queued->second.admission_request.deadline = deadline;
-    queued->second.uploaded = received;
+    queued->second.upload_completed_at = received;
     return;
   }
   pool_.onUploadComplete(id, received, deadline);
 }
 
-// A long answer counts when all of it is with the client, or will never be.
-void Proxy::conclude(ExchangeId id, std::int32_t request_class, Answer answer) {
+// A streamed answer is counted in onStreamed(), once it has been delivered or has failed.
+void Proxy::sendFinalAnswer(ExchangeId id, std::int32_t request_class, Answer answer) {
   if (answer.rest) {
-    streamed_[id] = request_class;
+    streaming_[id] = request_class;
   } else {
     counts_.ended(static_cast<std::size_t>(request_class), answer.status);
   }
@@ -338,10 +344,10 @@
 }
 
 void Proxy::onStreamed(ExchangeId id, bool whole) {
-  const auto it = streamed_.find(id);
-  if (it == streamed_.end()) return;
+  const auto it = streaming_.find(id);
+  if (it == streaming_.end()) return;
   counts_.ended(static_cast<std::size_t>(it->second), whole ? 200 : 502);
-  streamed_.erase(it);
+  streaming_.erase(it);
 }
 
 void Proxy::onCompleted(const AdmittedRequest& request) {
@@ -349,7 +355,7 @@
 }
 
 void Proxy::onClientGone(ExchangeId id) {
-  uploads_.erase(id);
+  time_after_upload_.erase(id);
   if (const auto queued = waiting_.find(id); queued != waiting_.end()) {
     releaseIndices(queued->second.request, queued->second.admission_request.request_class,
                    queued->second.admission_request.tenant);
@@ -367,27 +373,28 @@
 void Proxy::reload(Config next) {
   if (next.alone != config_.alone)
     throw std::runtime_error(
-        "a file with a pool can't take the place of one without, nor the reverse: restart");
-  // The platform's part stays; shares go by its names, whose order may be another by now.
+        "a configuration with its own pool can't replace one that uses discovery, nor the reverse: restart");
+  // The platform's part stays as at start. Shares are matched by name: the new file may order the names
+  // differently.
   if (!next.alone) {
-    next.own.classes = sharesOf(config_.site.classes, next.site.classes, next.own.classes);
-    next.own.tenants = sharesOf(config_.site.tenants, next.site.tenants, next.own.tenants);
+    next.own.classes = reorderShares(config_.site.classes, next.site.classes, next.own.classes);
+    next.own.tenants = reorderShares(config_.site.tenants, next.site.tenants, next.own.tenants);
     next.site = config_.site;
     next.zones = config_.zones;
   }
   next.site.settings.client = config_.site.settings.client;
   next.memory_mb = config_.memory_mb;
   next.sockets = config_.sockets;
-  Registry known = registry_;
-  known.assign(next);
-  load_balancer::Settings settings = known.settings(next);
-  const admission::RequestGate::Limits limits = known.limits(next);
-  const admission::RequestGate record(limits);  // throws where they can't hold together
-  // Or this; nothing has changed until then.
+  Registry registry = registry_;
+  registry.assign(next);
+  load_balancer::Settings settings = registry.settings(next);
+  const admission::RequestGate::Limits limits = registry.limits(next);
+  const admission::RequestGate validated(limits);  // throws if the limits contradict one another
+  // May throw too; nothing has changed up to here.
   pool_.reconfigure(std::move(settings), upstreamLimits(next));
-  registry_ = std::move(known);
+  registry_ = std::move(registry);
   requests_.reconfigure(limits);
-  duplicates_.reconfigure(repeatLimits(next));
+  duplicates_.reconfigure(duplicateDetectorLimits(next));
   lifecycle_.setLongest(longestDeadline(next.site.settings));
   rejection_counters_.grow(registry_.classes.size(), registry_.tenants.size());
   server_.reconfigure(serverLimits(next, descriptors_.limit()).connections);
@@ -399,12 +406,12 @@
   if (config_.alone) {
     setHosts(std::move(hosts));
   } else if (config_.discovery != pool_.discoveryEndpoint()) {
-    log_.line("configuration read again: discovery has moved");
+    log_.line("configuration reloaded: discovery endpoint changed");
     pool_.moveDiscovery(config_.discovery);
   } else if (config_.own.file.empty()) {
-    log_.line("configuration read again: nothing new");
+    log_.line("configuration reloaded: no changes");
   }
-  admitWaiting();  // there may be places now
+  admitWaiting();  // limits may have been raised
 }
 
 }  // namespace client_proxy
--- a/src/front/proxy_life.cpp
+++ b/src/front/proxy_life.cpp
@@ -1,4 +1,5 @@
-// The front's life: it begins, drains, is handed on, ends. src/lifecycle says when.
+// The front's life cycle: start, drain, hot restart and shutdown. src/lifecycle decides when each step is
+// due.
 #include <stdexcept>
 #include <string>
 #include <utility>
@@ -14,8 +15,8 @@
 void Proxy::withLifecycle(Event event) {
   lifecycle::Steps steps;
   event(steps);
-  for (const lifecycle::Step& step : steps) carryOut(step);
-  awaitLifecycle();
+  for (const lifecycle::Step& step : steps) executeStep(step);
+  armLifecycleTimer();
 }
 
 void Proxy::start(hot_restart::State state) {
@@ -26,7 +27,7 @@
     try {
       known = parseHostList(state.hosts, config_.zones, BadEntry::PassOver);
     } catch (const std::runtime_error& e) {
-      log_.line(std::string("the list of the process before this one is not used: ") + e.what(),
+      log_.line(std::string("ignoring the host list of the previous process: ") + e.what(),
                 LogLevel::Warning);
     }
   }
@@ -53,9 +54,9 @@
 
 void Proxy::handOn(hot_restart::Successor successor) {
   successor_ = std::move(successor);
-  if (successor_.tell) {  // before any client can repeat something there
-    if (const auto record = duplicates_.snapshot(clock_.now()); !record.empty()) successor_.tell(record);
-    successor_.tell({});  // that was all
+  if (successor_.tell) {  // before any client can send a duplicate there
+    if (const auto records = duplicates_.snapshot(clock_.now()); !records.empty()) successor_.tell(records);
+    successor_.tell({});  // an empty list ends the transfer
   }
   withLifecycle([this](lifecycle::Steps& steps) { lifecycle_.onHandOn(steps); });
 }
@@ -65,7 +66,7 @@
   withLifecycle([this](lifecycle::Steps& steps) { lifecycle_.onRollBack(steps); });
 }
 
-void Proxy::carryOut(const lifecycle::Step& step) {
+void Proxy::executeStep(const lifecycle::Step& step) {
   using Kind = lifecycle::Step::Kind;
   switch (step.kind) {
     case Kind::SendAway:
@@ -83,45 +84,45 @@
     case Kind::StopListening:
       return server_.stopListening();
     case Kind::AnswerAll:
-      return answerAll(step.by);
+      return setShutdownDeadline(step.by);
     case Kind::Leave:
       return done_();
   }
 }
 
-// As for places: a new timer only where something is due earlier than any that is set.
-void Proxy::awaitLifecycle() {
+// As in armPermitTimer(), a new timer is set only if it is due earlier than those already set.
+void Proxy::armLifecycleTimer() {
   const Time due = lifecycle_.due();
-  if (due >= lifecycle_due_) return;
-  lifecycle_due_ = due;
+  if (due >= lifecycle_timer_due_) return;
+  lifecycle_timer_due_ = due;
   timers_.at(due, [this, due] {
-    if (lifecycle_due_ == due) lifecycle_due_ = kNever;
+    if (lifecycle_timer_due_ == due) lifecycle_timer_due_ = kNever;
     withLifecycle(
         [this](lifecycle::Steps& steps) { lifecycle_.onTime(clock_.now(), remainingConnections(), steps); });
   });
 }
 
-// Whoever waits for a place by then does not get one any more.
-void Proxy::answerAll(Time by) {
+// Every request is answered by `by`. Those that still wait for a permit then are rejected.
+void Proxy::setShutdownDeadline(Time by) {
   shutdown_deadline_ = by;
   pool_.finishBy(by);
   timers_.at(by, [this] {
-    std::vector<admission::Refusal> left;
-    for (const auto& [id, queued] : waiting_) left.push_back({id, RejectionReason::Shutdown});
-    for (const admission::Refusal& r : left) requests_.release(clock_.now(), r.id);
-    rejectWaiting(left);
+    std::vector<admission::Refusal> expired;
+    for (const auto& [id, queued] : waiting_) expired.push_back({id, RejectionReason::Shutdown});
+    for (const admission::Refusal& r : expired) requests_.release(clock_.now(), r.id);
+    rejectWaiting(expired);
   });
 }
 
 void Proxy::drainClients() {
   withLifecycle([this](lifecycle::Steps& steps) {
-    if (lifecycle_.onDrain(clock_.now(), steps)) log_.line("draining clients, by hand");
+    if (lifecycle_.onDrain(clock_.now(), steps)) log_.line("draining clients by operator command");
   });
 }
 
 void Proxy::undrainClients() {
   withLifecycle([this](lifecycle::Steps& steps) {
-    if (lifecycle_.onUndrain(steps)) log_.line("taking clients again, by hand");
+    if (lifecycle_.onUndrain(steps)) log_.line("accepting clients again by operator command");
   });
 }
 
--- a/src/front/proxy_report.cpp
+++ b/src/front/proxy_report.cpp
@@ -1,4 +1,4 @@
-// What the front tells staff.
+// The front's reports to operators: the admission report and the metrics.
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -11,9 +11,9 @@
 std::string Proxy::admissionReport() {
   using nlohmann::json;
   const admission::ConnectionGate& c = server_.gate();
-  const auto bound = [](std::size_t n) { return n == admission::kNoBound ? json() : json(n); };
+  const auto limit_or_null = [](std::size_t n) { return n == admission::kNoBound ? json() : json(n); };
   json closed = json::object(), rejected = json::object();
-  const auto named = [](const auto& indices, std::size_t i) {
+  const auto name_or_other = [](const auto& indices, std::size_t i) {
     return i < indices.size() ? indices.name(i) : "other";
   };
   for (std::size_t i = 1; i < admission::kRejectionReasons; ++i) {
@@ -24,8 +24,8 @@
       for (std::size_t t = 0; t < rejection_counters_.tenants(); ++t) {
         const auto n = rejection_counters_.count(reason, k, t);
         if (n == 0) continue;
-        json& cell = rejected[name][named(registry_.classes, k)][named(registry_.tenants, t)];
-        cell = n + (cell.is_number() ? cell.get<std::uint64_t>() : 0);  // a name may have had several numbers
+        json& cell = rejected[name][name_or_other(registry_.classes, k)][name_or_other(registry_.tenants, t)];
+        cell = n + (cell.is_number() ? cell.get<std::uint64_t>() : 0);  // a name may have had several indices
       }
     }
   }
@@ -53,31 +53,31 @@
         {"waiting", requests_.waiting()},
         {"bytes", requests_.bytes()},
         {"repeats", requests_.retries()},
-        {"most_open", bound(limits.open)},
-        {"most_waiting", bound(limits.waiting)},
-        {"most_bytes", bound(limits.bytes)},
+        {"most_open", limit_or_null(limits.open)},
+        {"most_waiting", limit_or_null(limits.waiting)},
+        {"most_bytes", limit_or_null(limits.bytes)},
         {"admitted", rejection_counters_.total(RejectionReason::None)},
         {"refused", rejected}}}};
   return report.dump(2);
 }
 
 std::string Proxy::stats() const {
-  metrics::ProxyMetrics page;
+  metrics::ProxyMetrics metrics;
   for (std::size_t i = 0; i < registry_.classes.size(); ++i)
-    page.classes.push_back({registry_.classes.name(i), counts_.of(i)});
+    metrics.classes.push_back({registry_.classes.name(i), counts_.of(i)});
   const load_balancer::HostCounts hosts = pool_.hostCounts();
-  page.concurrent = server_.openRequests();
-  page.targets = hosts.listed;
-  page.targets_disabled = hosts.avoided;
+  metrics.concurrent = server_.openRequests();
+  metrics.targets = hosts.listed;
+  metrics.targets_disabled = hosts.avoided;
   const load_balancer::SlowStartCounts slow_start = pool_.slowStartCounts();
-  page.slow_start_targets = slow_start.hosts;
-  page.slow_start_sent = slow_start.sent;
+  metrics.slow_start_targets = slow_start.hosts;
+  metrics.slow_start_sent = slow_start.sent;
   const load_balancer::RuleViolations violations = pool_.ruleViolations();
-  page.violations = {{"lost", violations.lost},
-                     {"duplicate", violations.duplicate},
-                     {"drain", violations.drain},
-                     {"failback", violations.failback}};
-  return metrics::toPrometheusText(page);
+  metrics.violations = {{"lost", violations.lost},
+                        {"duplicate", violations.duplicate},
+                        {"drain", violations.drain},
+                        {"failback", violations.failback}};
+  return metrics::toPrometheusText(metrics);
 }
 
 }  // namespace client_proxy
