--- a/tests/by_hand_proxy_test.cpp
+++ b/tests/by_hand_proxy_test.cpp
@@ -1,4 +1,4 @@
-// What staff do by hand, through the whole proxy: hosts out of use, figures, a drain.
+// Tests of operator commands through the whole proxy: disabling hosts, metrics, draining clients.
 #include "proxy_support.h"
 
 namespace client_proxy::test {
@@ -6,7 +6,8 @@
 
 class ByHand : public ProxyTest {
  protected:
-  long long figure(const std::string& name) {
+  // The value of a metric; -1: there is none of this name.
+  long long metric(const std::string& name) {
     const std::string text = proxy->stats();
     const std::size_t at = text.find("\n" + name + ' ');
     return at == std::string::npos ? -1 : std::stoll(text.substr(at + name.size() + 2));
@@ -14,74 +15,75 @@
   static constexpr const char* kHealthz = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 };
 
-TEST_F(ByHand, AHostThatIsOutGetsNothingNewAndEndsWhatItHas) {
+TEST_F(ByHand, DisabledHostGetsNoNewRequestsAndFinishesItsOpenOne) {
   start({entry("s-1", host.endpoint()), entry("s-2", other.endpoint())});
   const auto c = client();
   c->say(request("first"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() + other.peers.size() == 1; }));
   const bool at_host = !host.peers.empty();
-  Host& asked = at_host ? host : other;
-  Host& rest = at_host ? other : host;
+  Host& disabled = at_host ? host : other;
+  Host& enabled = at_host ? other : host;
   const char* const id = at_host ? "s-1" : "s-2";
-  ASSERT_TRUE(loop.until([&] { return asked.peers[0]->heard("first"); }));
+  ASSERT_TRUE(loop.until([&] { return disabled.peers[0]->heard("first"); }));
   EXPECT_TRUE(proxy->disableHost(id));
-  EXPECT_FALSE(proxy->disableHost("nobody"));
-  EXPECT_EQ(figure("app_targets"), 2);
-  EXPECT_EQ(figure("app_targets_disabled"), 1);
-  asked.peers[0]->say(answerOf("done"));
+  EXPECT_FALSE(proxy->disableHost("unknown-host"));
+  EXPECT_EQ(metric("app_targets"), 2);
+  EXPECT_EQ(metric("app_targets_disabled"), 1);
+  disabled.peers[0]->say(answerOf("done"));
   ASSERT_TRUE(loop.until([&] { return c->heard("done"); }));
   for (int i = 0; i < 6; ++i) {
     const auto next = client();
     next->say(request("n" + std::to_string(i)));
-    ASSERT_TRUE(
-        loop.until([&] { return !rest.peers.empty() && rest.peers.back()->heard("n" + std::to_string(i)); }));
-    rest.peers.back()->say(answerOf("x"));
+    ASSERT_TRUE(loop.until(
+        [&] { return !enabled.peers.empty() && enabled.peers.back()->heard("n" + std::to_string(i)); }));
+    enabled.peers.back()->say(answerOf("x"));
     ASSERT_TRUE(loop.until([&] { return next->heard("200"); }));
   }
-  EXPECT_EQ(asked.peers.size(), 1U);
-  EXPECT_EQ(asked.peers[0]->got.find("n0"), std::string::npos);
+  EXPECT_EQ(disabled.peers.size(), 1U);
+  EXPECT_EQ(disabled.peers[0]->got.find("n0"), std::string::npos);
   EXPECT_TRUE(proxy->enableHost(id));
-  EXPECT_EQ(figure("app_targets_disabled"), 0);
+  EXPECT_EQ(metric("app_targets_disabled"), 0);
 }
 
-TEST_F(ByHand, FiguresCountEndsAttemptsAndWhatIsOpen) {
+TEST_F(ByHand, MetricsCountResultsAttemptsAndOpenRequests) {
   start(json::array({entry("s-1", host.endpoint())}));
-  EXPECT_EQ(figure("app_success{type=\"slot-status\"}"), 0);
+  EXPECT_EQ(metric("app_success{type=\"slot-status\"}"), 0);
   const auto c = client();
   c->say(request("a"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 1 && host.peers[0]->heard("a"); }));
-  EXPECT_EQ(figure("app_concurrent"), 1);
-  EXPECT_EQ(figure("app_dispatches{type=\"slot-status\"}"), 1);
+  EXPECT_EQ(metric("app_concurrent"), 1);
+  EXPECT_EQ(metric("app_dispatches{type=\"slot-status\"}"), 1);
   host.peers[0]->say(answerOf("hello"));
   ASSERT_TRUE(loop.until([&] { return c->heard("hello"); }));
-  ASSERT_TRUE(loop.until([&] { return figure("app_concurrent") == 0; }));
-  EXPECT_EQ(figure("app_success{type=\"slot-status\"}"), 1);
+  ASSERT_TRUE(loop.until([&] { return metric("app_concurrent") == 0; }));
+  EXPECT_EQ(metric("app_success{type=\"slot-status\"}"), 1);
   ASSERT_TRUE(proxy->disableHost("s-1"));
   c->say(request("b"));
   ASSERT_TRUE(loop.until([&] { return c->heard("HTTP/1.1 503"); }));
   EXPECT_TRUE(c->heard("Retry-After"));
-  EXPECT_EQ(figure("app_overload{type=\"slot-status\"}"), 1);
+  EXPECT_EQ(metric("app_overload{type=\"slot-status\"}"), 1);
   c->say("GET /swap-charge/1 HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: c\r\n\r\n");
   ASSERT_TRUE(loop.until([&] { return c->heard("HTTP/1.1 405"); }));
-  EXPECT_EQ(figure("app_error{type=\"swap-charge\"}"), 1);
+  EXPECT_EQ(metric("app_error{type=\"swap-charge\"}"), 1);
 }
 
-TEST_F(ByHand, ADrainSaysNoClosesWithAnswersAndThenWhatRests) {
+TEST_F(ByHand, DrainFailsHealthCheckAndClosesBusyAndIdleConnections) {
   start(json::array({entry("s-1", host.endpoint())}));
-  const auto busy = client(), resting = client(), front = client();
+  const auto busy = client(), idle = client(), health_checker = client();
   busy->say(request("a"));
-  front->say(kHealthz);
-  resting->say(kHealthz);
-  ASSERT_TRUE(loop.until([&] { return front->heard("HTTP/1.1 200") && resting->heard("HTTP/1.1 200"); }));
+  health_checker->say(kHealthz);
+  idle->say(kHealthz);
+  ASSERT_TRUE(
+      loop.until([&] { return health_checker->heard("HTTP/1.1 200") && idle->heard("HTTP/1.1 200"); }));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 1 && host.peers[0]->heard("a"); }));
   proxy->drainClients();
   proxy->drainClients();
-  front->say(kHealthz);
-  ASSERT_TRUE(loop.until([&] { return front->heard("HTTP/1.1 503") && front->ended; }));
-  const auto late = client();  // still taken and served
+  health_checker->say(kHealthz);
+  ASSERT_TRUE(loop.until([&] { return health_checker->heard("HTTP/1.1 503") && health_checker->ended; }));
+  const auto late = client();  // still accepted and served
   late->say(request("b"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 2 && host.peers[1]->heard("b"); }));
-  ASSERT_TRUE(loop.until([&] { return resting->ended; }));
+  ASSERT_TRUE(loop.until([&] { return idle->ended; }));
   EXPECT_FALSE(busy->ended);
   host.peers[0]->say(answerOf("one"));
   host.peers[1]->say(answerOf("two"));
@@ -95,21 +97,21 @@
   EXPECT_FALSE(again->heard("Connection: close"));
 }
 
-TEST_F(ByHand, TheConsoleIsWhereTheVariableSaysElseTheKeyElseNowhere) {
+TEST_F(ByHand, ConsoleAddressComesFromVariableThenKeyAndIsOtherwiseUnset) {
   start(json::array());
   EXPECT_FALSE(readConfig(file->environment()).console);
   file->doc["console"] = "127.0.0.1:19000";
   file->write(file->doc.dump());
   EXPECT_EQ(textOf(readConfig(file->environment()).console.value()), "127.0.0.1:19000");
-  const auto named = [&](const char* name) -> const char* {
+  const auto with_variable = [&](const char* name) -> const char* {
     return std::string_view(name) == "PROXY_CONSOLE" ? "127.0.0.1:19001" : file->environment()(name);
   };
-  EXPECT_EQ(textOf(readConfig(named).console.value()), "127.0.0.1:19001");
+  EXPECT_EQ(textOf(readConfig(with_variable).console.value()), "127.0.0.1:19001");
   file->doc["console"] = "nowhere";
   file->write(file->doc.dump());
   try {
     readConfig(file->environment());
-    FAIL() << "was taken";
+    FAIL() << "the invalid address was accepted";
   } catch (const std::runtime_error& e) {
     EXPECT_NE(std::string(e.what()).find("console: is not an address"), std::string::npos) << e.what();
   }
--- a/tests/client_left_test.cpp
+++ b/tests/client_left_test.cpp
@@ -1,4 +1,5 @@
-// Clients that leave: nothing more is sent for them. docs/crossings.md has the list.
+// Tests that nothing more is sent to hosts for clients that disconnected. docs/crossings.md lists these
+// cases.
 #include <sys/socket.h>
 
 #include "proxy_support.h"
@@ -8,13 +9,14 @@
 
 class ClientLeft : public ProxyTest {
  protected:
-  std::string heardByHost() const {
+  // Everything the host has received, over all connections.
+  std::string receivedByHost() const {
     std::string all;
     for (const auto& p : host.peers) all += p->got;
     return all;
   }
-  // A host that keeps a connection open: what is sent on begins in the same turn of the loop.
-  void startWithAKeptConnection() {
+  // The connection to the host stays open, so a request is forwarded in the same iteration of the event loop.
+  void startWithOpenHostConnection() {
     start(json::array({entry("s-1", host.endpoint())}));
     const auto c = client();
     c->say(request("warm"));
@@ -24,60 +26,61 @@
   }
 };
 
-// Its request stood in a queue of the system's while the process was not scheduled, say, or had no
-// descriptor.
-TEST_F(ClientLeft, BeforeItsRequestIsReadAndNothingIsSentForIt) {
-  startWithAKeptConnection();
-  tcp::socket gone(loop.io);
-  gone.connect(proxy->localEndpoint());
-  asio::write(gone, asio::buffer(request("gone")));
-  gone.close();  // the loop has not turned: all of it is there when it is read first
+// The request waits in a kernel queue, for instance while the process is not scheduled or has no descriptor
+// left.
+TEST_F(ClientLeft, DisconnectBeforeRequestIsReadSendsNothingToHosts) {
+  startWithOpenHostConnection();
+  tcp::socket disconnecting(loop.io);
+  disconnecting.connect(proxy->localEndpoint());
+  asio::write(disconnecting, asio::buffer(request("disconnected")));
+  disconnecting.close();  // the event loop has not run, so its first read finds the request and the close
   const auto c = client();
   c->say(request("after"));
-  ASSERT_TRUE(loop.until([&] { return heardByHost().find("after") != std::string::npos; }));
-  EXPECT_EQ(heardByHost().find("gone"), std::string::npos);
+  ASSERT_TRUE(loop.until([&] { return receivedByHost().find("after") != std::string::npos; }));
+  EXPECT_EQ(receivedByHost().find("disconnected"), std::string::npos);
 }
 
-// It has sent so much behind its first request that nothing more is read of it until that is answered. The
-// attempt fails then: there is no next one.
-TEST_F(ClientLeft, BehindMoreThanIsReadAheadAndItsAttemptIsCancelled) {
+// The client has pipelined so many requests that the proxy stops reading until the first one is answered. The
+// disconnect still has to be noticed, and the attempt cancelled without a retry.
+TEST_F(ClientLeft, DisconnectWithFullReadAheadCancelsTheAttempt) {
   start(json::array({entry("s-1", host.endpoint())}), [](Config& c) {
     for (load_balancer::RequestClass& k : c.site.settings.classes)
       k.latency_objective = k.deadline = 20 * kSecond;
   });
   const auto c = client();
-  std::string behind;
-  for (int i = 0; i < 100; ++i) behind += request("behind-" + std::to_string(i));
-  c->say(request("first") + behind);
+  std::string pipelined;
+  for (int i = 0; i < 100; ++i) pipelined += request("pipelined-" + std::to_string(i));
+  c->say(request("first") + pipelined);
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 1 && host.peers[0]->heard("first"); }));
   ASSERT_TRUE(loop.until([&] { return c->said == 1; }));
-  const Time left = loop.clock.now();
+  const Time disconnected_at = loop.clock.now();
   c->close();
-  ASSERT_TRUE(loop.until([&] { return host.peers[0]->ended; })) << "nobody waits for it";
-  EXPECT_LT(loop.clock.now() - left, 5 * kSecond) << "its time was not over";
-  EXPECT_EQ(heardByHost().find("behind"), std::string::npos);
+  ASSERT_TRUE(loop.until([&] { return host.peers[0]->ended; })) << "the attempt was not cancelled";
+  EXPECT_LT(loop.clock.now() - disconnected_at, 5 * kSecond) << "cancelled at its deadline only";
+  EXPECT_EQ(receivedByHost().find("pipelined"), std::string::npos);
   ASSERT_TRUE(loop.until([&] { return proxy->openRequests() == 0 && proxy->server().connections() == 0; }));
 }
 
-// A burst that sends much at once and goes: none of it reaches a host, and who stays is served.
-TEST_F(ClientLeft, ABurstThatSendsAndGoesCostsHostsNothing) {
-  startWithAKeptConnection();
+// Many clients send two requests each and disconnect at once: none of these reaches a host, and a client that
+// stays connected is served.
+TEST_F(ClientLeft, BurstOfDisconnectingClientsSendsNothingToHosts) {
+  startWithOpenHostConnection();
   for (int i = 0; i < 40; ++i) {
-    tcp::socket gone(loop.io);
-    gone.connect(proxy->localEndpoint());
-    asio::write(gone,
-                asio::buffer(request("gone-" + std::to_string(i)) + request("too-" + std::to_string(i))));
-    gone.close();
+    tcp::socket disconnecting(loop.io);
+    disconnecting.connect(proxy->localEndpoint());
+    asio::write(disconnecting, asio::buffer(request("disconnected-" + std::to_string(i)) +
+                                            request("pipelined-" + std::to_string(i))));
+    disconnecting.close();
   }
   const auto c = client();
-  c->say(request("stays"));
-  ASSERT_TRUE(loop.until([&] { return heardByHost().find("stays") != std::string::npos; }));
+  c->say(request("remaining"));
+  ASSERT_TRUE(loop.until([&] { return receivedByHost().find("remaining") != std::string::npos; }));
   for (const auto& p : host.peers) {
-    if (p->heard("stays")) p->say(answerOf("served"));
+    if (p->heard("remaining")) p->say(answerOf("served"));
   }
   ASSERT_TRUE(loop.until([&] { return c->heard("served"); }));
-  EXPECT_EQ(heardByHost().find("gone"), std::string::npos);
-  EXPECT_EQ(heardByHost().find("too"), std::string::npos);
+  EXPECT_EQ(receivedByHost().find("disconnected"), std::string::npos);
+  EXPECT_EQ(receivedByHost().find("pipelined"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -1,14 +1,15 @@
-// The program while the system's calls fail for a moment, or do half of what was asked.
+// Tests of the program while system calls fail temporarily, or transfer fewer bytes than requested.
 #include "proxy_support.h"
 
 namespace client_proxy::test {
 namespace {
 
 constexpr int kRequests = 150;
-constexpr Time kPrompt = 2 * kSecond;  // nothing that passes by itself costs a client more
+constexpr Time kMaxAnswerTime = 2 * kSecond;  // a temporary failure may delay a client by no more
 
 class FailingCalls : public ::testing::Test {
  protected:
+  // Starts the program; `calls`: the failures to inject (tests/shims/failing_calls.cpp).
   void start(const std::string& calls) {
     file.doc["listen"] = textOf(listen);
     for (json& c : file.doc["settings"]["request_classes"]) c["goal_time_us"] = c["deadline_us"] = 3'000'000;
@@ -20,10 +21,10 @@
         std::vector<std::string>{"PROXY_CONFIG=" + file.path, "PROXY_CONSOLE=" + textOf(console_at),
                                  "PROXY_DISCOVERY=" + file.doc["discovery"].get<std::string>(),
                                  "LD_PRELOAD=" FAILING_CALLS_LIBRARY, "FAILING_CALLS=" + calls});
-    discovery.peers.clear();  // of a program before it
+    discovery.peers.clear();  // connections of the previous program
     ASSERT_TRUE(loop.until([&] { return watched(); }));
   }
-  // Discovery has been asked, and has told the whole list.
+  // The program has opened its watch, and discovery has sent the whole list.
   bool watched() {
     for (const auto& peer : discovery.peers) {
       if (peer->said == 0 && peer->heard("\r\n\r\n"))
@@ -34,30 +35,31 @@
   }
   void serveHosts() {
     for (const auto& peer : host.peers) {
-      std::size_t& from = read[peer.get()];
+      std::size_t& from = handled[peer.get()];
       for (std::size_t end = 0; (end = peer->got.find("\r\n\r\n", from)) != std::string::npos; from = end + 4)
         peer->say(answerOf(kBody));
     }
   }
-  bool answeredWhole(const Peer& client, int times) const {
-    int whole = 0;
+  // The client has received at least so many complete bodies.
+  bool receivedBodies(const Peer& client, int times) const {
+    int bodies = 0;
     for (std::size_t at = client.got.find(kBody); at != std::string::npos;
          at = client.got.find(kBody, at + 1))
-      ++whole;
-    return whole >= times;
+      ++bodies;
+    return bodies >= times;
   }
-  // Each client asks once or more on its connection; all are answered whole and promptly.
-  void askAll(int clients, int times) {
+  // Each client sends `times` requests on one connection; all answers are complete and arrive in time.
+  void expectAllAnswered(int clients, int times) {
     for (int n = 0; n < clients; ++n) {
       const auto client = Peer::connect(loop, listen);
       for (int i = 1; i <= times; ++i) {
-        const Time asked = loop.clock.now();
+        const Time sent_at = loop.clock.now();
         client->say(request("r" + std::to_string(n) + "-" + std::to_string(i)));
         ASSERT_TRUE(loop.until([&] {
           serveHosts();
-          return client->ended || answeredWhole(*client, i) || loop.clock.now() - asked > kPrompt;
+          return client->ended || receivedBodies(*client, i) || loop.clock.now() - sent_at > kMaxAnswerTime;
         }));
-        ASSERT_TRUE(answeredWhole(*client, i))
+        ASSERT_TRUE(receivedBodies(*client, i))
             << "client " << n << ", request " << i << (client->ended ? ", closed: " : ": ") << client->got;
       }
       client->close();
@@ -71,53 +73,54 @@
   const tcp::endpoint listen = freePort(loop);
   tcp::endpoint console;
   std::unique_ptr<Program> program;
-  std::map<const Peer*, std::size_t> read;  // how far, of what each host's connection got
+  std::map<const Peer*, std::size_t> handled;  // bytes handled, by connection to the host
 };
 
-// Incident 4e2499: the whole program stood still in accept, with answers out, until the next connection.
-TEST_F(FailingCalls, AConnectionAbortedBeforeItIsAcceptedHoldsUpNobody) {
+// Incident 4e2499: the program blocked in accept until the next connection, with answers pending.
+TEST_F(FailingCalls, ConnectionAbortedBeforeAcceptDelaysNoClient) {
   start("accept=ECONNABORTED:30");
-  askAll(kRequests, 1);
+  expectAllAnswered(kRequests, 1);
 }
 
-// Incident 4e2499: an answer ended in the middle, and its connection was closed after three seconds.
-TEST_F(FailingCalls, WhatIsWrittenInPartIsWrittenWhole) {
+// Incident 4e2499: an answer was cut off half-way, and its connection was closed after three seconds.
+TEST_F(FailingCalls, ShortWritesAreCompleted) {
   start("send=short:50");
-  askAll(10, kRequests / 10);
+  expectAllAnswered(10, kRequests / 10);
 }
 
-TEST_F(FailingCalls, WhatIsReadInPartIsReadWhole) {
+TEST_F(FailingCalls, ShortReadsAreCompleted) {
   start("recv=short:50");
-  askAll(10, kRequests / 10);
+  expectAllAnswered(10, kRequests / 10);
 }
 
-// Incident 4e2499: a call that a signal had interrupted passed for a broken connection.
-TEST_F(FailingCalls, ACallThatWasInterruptedIsMadeAgain) {
+// Incident 4e2499: a call interrupted by a signal was treated as a broken connection.
+TEST_F(FailingCalls, InterruptedCallsAreRetried) {
   start("recv=EINTR:20 send=EINTR:20");
-  askAll(10, kRequests / 10);
+  expectAllAnswered(10, kRequests / 10);
 }
 
-// Incident 4e2499: each accept that found no descriptor closed a client's connection.
-TEST_F(FailingCalls, AMomentWithoutDescriptorsClosesNobody) {
+// Incident 4e2499: each accept that failed for lack of a descriptor closed a client's connection.
+TEST_F(FailingCalls, TemporaryDescriptorShortageClosesNoConnection) {
   for (const char* const error : {"EMFILE", "ENFILE", "ENOBUFS"}) {
     start("accept=" + std::string(error) + ":30");
     const auto kept = Peer::connect(loop, listen);
     kept->say(request(std::string("first") + error));
-    ASSERT_TRUE(loop.until([&] { return serveHosts(), answeredWhole(*kept, 1); }));
-    askAll(kRequests / 3, 1);
+    ASSERT_TRUE(loop.until([&] { return serveHosts(), receivedBodies(*kept, 1); }));
+    expectAllAnswered(kRequests / 3, 1);
     EXPECT_FALSE(kept->ended) << error;
     program.reset();
   }
 }
 
-TEST_F(FailingCalls, TheConsoleAnswersWholeToo) {
+TEST_F(FailingCalls, ConsoleAnswersAreComplete) {
   start("accept=ECONNABORTED:30 send=short:50");
   for (int n = 0; n < 30; ++n) {
-    const auto staff = Peer::connect(loop, console);
-    staff->say("GET /stats HTTP/1.1\r\nHost: h\r\n\r\n");
-    const Time asked = loop.clock.now();
-    ASSERT_TRUE(loop.until([&] { return staff->ended || loop.clock.now() - asked > kSecond; }));
-    EXPECT_TRUE(staff->ended && staff->heard("app_targets ")) << n << ": " << staff->got;
+    const auto operator_client = Peer::connect(loop, console);
+    operator_client->say("GET /stats HTTP/1.1\r\nHost: h\r\n\r\n");
+    const Time sent_at = loop.clock.now();
+    ASSERT_TRUE(loop.until([&] { return operator_client->ended || loop.clock.now() - sent_at > kSecond; }));
+    EXPECT_TRUE(operator_client->ended && operator_client->heard("app_targets "))
+        << n << ": " << operator_client->got;
   }
 }
 
--- a/tests/generated_settings_test.cpp
+++ b/tests/generated_settings_test.cpp
@@ -1,5 +1,5 @@
-// The program under settings that no deployment has: whatever they are it serves by them, or says which key
-// it can't go by.
+// Tests of the program with unusual settings: it serves under any valid settings, and exits with the name of
+// the key if they are invalid.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -11,17 +11,19 @@
 namespace client_proxy::test {
 namespace {
 
-// The same settings for a seed, anywhere.
+// Generates random settings; the same on every platform for a seed.
 class Generator {
  public:
   explicit Generator(std::uint64_t seed) : random_(seed) {}
   std::uint64_t below(std::uint64_t n) { return random_() % n; }
-  // Over the orders of magnitude between the two.
-  std::uint64_t between(double least, double most) {
-    const double part = static_cast<std::uint32_t>(below(1U << 30)) / 1073741824.0;
-    return static_cast<std::uint64_t>(least * std::pow(most / least, part));
+  // Distributed evenly over the orders of magnitude between the two.
+  std::uint64_t between(double min, double max) {
+    const double exponent = static_cast<std::uint32_t>(below(1U << 30)) / 1073741824.0;
+    return static_cast<std::uint64_t>(min * std::pow(max / min, exponent));
+  }
+  const char* oneOf(std::initializer_list<const char*> values) {
+    return values.begin()[below(values.size())];
   }
-  const char* oneOf(std::initializer_list<const char*> words) { return words.begin()[below(words.size())]; }
 
   json settings(json from) {
     json classes = json::array();
@@ -55,7 +57,7 @@
     rules["cold_us"] = between(1, 1e10);
     rules["fall_us"] = between(1, 1e10);
     rules["ask_within_us"] = between(300'000, 1e9);
-    from["key_that_nobody_knows"] = {{"deep", json::array({1, nullptr})}};
+    from["unknown_key"] = {{"deep", json::array({1, nullptr})}};
     return from;
   }
 
@@ -65,7 +67,7 @@
 
 class GeneratedSettings : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(GeneratedSettings, EachClassIsAnsweredByThemAndTheProcessEndsInOrder) {
+TEST_P(GeneratedSettings, EveryClassIsAnsweredAndTheProgramExitsCleanly) {
   Loop loop;
   Host host(loop), discovery(loop);
   ConfigFile file(json::array({entry("s-1", host.endpoint())}), discovery.endpoint());
@@ -76,12 +78,12 @@
   Program program(file);
   ASSERT_TRUE(loop.until([&] { return discovery.peers.size() >= 1; }));
   std::vector<std::shared_ptr<Peer>> clients;
-  std::map<Peer*, std::size_t> answered;  // requests of each of the host's connections
+  std::map<Peer*, std::size_t> answered;  // the number of requests, by connection to the host
   const auto serve = [&] {
     for (const auto& p : host.peers) {
-      std::size_t asked = 0;
-      for (std::size_t at = 0; (at = p->got.find("\r\n\r\n", at)) != std::string::npos; ++at) ++asked;
-      for (; answered[p.get()] < asked; ++answered[p.get()]) p->say(answerOf("ok"));
+      std::size_t received = 0;
+      for (std::size_t at = 0; (at = p->got.find("\r\n\r\n", at)) != std::string::npos; ++at) ++received;
+      for (; answered[p.get()] < received; ++answered[p.get()]) p->say(answerOf("ok"));
     }
   };
   for (const json& c : file.doc["settings"]["request_classes"]) {
@@ -112,14 +114,14 @@
 
 struct BadKey {
   const char* pointer;  // RFC 6901
-  const char* value;    // nothing: the key is missing
-  const char* named;
+  const char* value;    // JSON; null: the key is missing
+  const char* message;  // part of the error message that names the key
 };
 void PrintTo(const BadKey& b, std::ostream* out) { *out << b.pointer; }
 
 class BadSettings : public ::testing::TestWithParam<BadKey> {};
 
-TEST_P(BadSettings, RefuseTheStartAndNameTheKey) {
+TEST_P(BadSettings, ProgramExitsWithAMessageThatNamesTheKey) {
   Loop loop;
   Host host(loop), discovery(loop);
   ConfigFile file(json::array({entry("s-1", host.endpoint())}), discovery.endpoint());
@@ -137,8 +139,8 @@
   ASSERT_TRUE(loop.until([&] { return (status = program.status()) != -1; }));
   EXPECT_EQ(status, 1);
   std::ifstream in(log);
-  const std::string said{std::istreambuf_iterator<char>(in), {}};
-  EXPECT_NE(said.find(GetParam().named), std::string::npos) << said;
+  const std::string log_text{std::istreambuf_iterator<char>(in), {}};
+  EXPECT_NE(log_text.find(GetParam().message), std::string::npos) << log_text;
   std::filesystem::remove(log);
 }
 
--- a/tests/late_connection_test.cpp
+++ b/tests/late_connection_test.cpp
@@ -1,5 +1,5 @@
-// Between the choice of a host and the first byte of a request: its connection comes up late, and meanwhile
-// something happens. docs/crossings.md has the list.
+// Tests of events between the choice of a host and the first byte of the request: the connection to the host
+// is established late, and something changes meanwhile. docs/crossings.md lists these cases.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -16,8 +16,8 @@
 using load_balancer::HostState;
 using load_balancer::Idempotency;
 
-// Its queue of connections is full until open(): the system drops what would begin another, and the other
-// side tries again a second later. So a connection comes up late, and is never refused.
+// A host whose accept queue is full until open(): the kernel drops the SYN of a further connection, and the
+// peer retransmits it a second later. So a connection is established late, and is never refused.
 class LateHost {
  public:
   explicit LateHost(Loop& loop) : loop_(loop), acceptor_(loop.io) {
@@ -32,14 +32,14 @@
     filled_ = std::exchange(fillers_, {}).size();
     accept();
   }
-  // All that was ever said here.
-  std::string heard() const {
+  // Everything received so far, over all connections.
+  std::string received() const {
     std::string all;
     for (const auto& p : peers_) all += p->got;
     return all;
   }
-  // Whoever did not come before open() to fill the queue.
-  std::size_t come() const { return peers_.size() - std::min(peers_.size(), filled_); }
+  // Connections accepted, without those that filled the queue before open().
+  std::size_t connections() const { return peers_.size() - std::min(peers_.size(), filled_); }
   void answer(const std::string& body) {
     for (const auto& p : peers_) {
       if (p->heard("\r\n\r\n")) p->say(answerOf(body));
@@ -47,17 +47,18 @@
   }
 
  private:
-  // Whether one more has come up, within the time that loopback never takes.
+  // Opens one more connection. Returns false if the queue is full: it was not established within 100 ms,
+  // which a loopback connection never takes.
   bool fill() {
     auto socket = std::make_shared<tcp::socket>(loop_.io);
-    bool up = false;
-    socket->async_connect(endpoint(), [&up, socket](error_code ec) { up = !ec; });
+    bool connected = false;
+    socket->async_connect(endpoint(), [&connected, socket](error_code ec) { connected = !ec; });
     loop_.io.restart();
     loop_.io.run_for(std::chrono::milliseconds(100));
-    if (up) fillers_.push_back(socket);
-    if (!up) socket->close();
+    if (connected) fillers_.push_back(socket);
+    if (!connected) socket->close();
     loop_.turn();
-    return up;
+    return connected;
   }
   void accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
@@ -78,16 +79,16 @@
   void onDispatched(std::int32_t) override { ++dispatched; }
   void onAnswer(const AdmittedRequest& request, Answer answer) override {
     ++answers;
-    last = std::move(answer);
+    last_answer = std::move(answer);
     static_cast<void>(request);
   }
-  void onCompleted(const AdmittedRequest&) override { ++over; }
-  int dispatched = 0, answers = 0, over = 0;
-  Answer last;
+  void onCompleted(const AdmittedRequest&) override { ++completed; }
+  int dispatched = 0, answers = 0, completed = 0;
+  Answer last_answer;
 };
 
-// One service, whose owner and term the test says.
-struct Owners : ServiceGate {
+// A service gate with one service, whose owner zone and term the test sets.
+struct TestServiceGate : ServiceGate {
   Match serviceOf(const RequestHead&, std::string_view, Idempotency) const override { return {0U, false}; }
   Permission permission(Service) const override { return {true, zone, term, 0}; }
   std::optional<Time> delayAfterRestart(const load_balancer::RequestClass&, bool) const override {
@@ -99,7 +100,7 @@
   std::uint32_t term = 1;
 };
 
-// Classes: 0 safe, 1 unsafe, 2 keyed with a short window.
+// Classes: 0 is idempotent, 1 is not, 2 is idempotent by key with a short deduplication window.
 load_balancer::Settings settings() {
   load_balancer::Settings s;
   for (const Idempotency idempotency :
@@ -111,7 +112,7 @@
     s.classes.push_back(c);
   }
   s.max_attempts = 2;
-  s.may_cancel = false;  // what has begun goes on: it must not begin
+  s.may_cancel = false;  // a started attempt can't be cancelled, so it must not start
   s.slow_start_initial_capacity = 0.3;
   s.slow_start_duration = 20 * kSecond;
   s.slow_start_overload_factor = 3;
@@ -123,58 +124,59 @@
   LateConnection() {
     Pool::Config config;
     config.settings = settings();
-    // Of so many clients each has a small share of a host that has just started; by this seed it holds no
-    // request at first.
+    // With so many clients, each has a small share of a host in slow start. With this seed the share
+    // initially allows no request.
     config.settings.clients = 1000;
     config.seed = 3;
     config.upstream.connect_timeout = 2500 * kMillisecond;
     pool = std::make_unique<Pool>(loop.io, loop.timers, loop.descriptors, loop.log, zones, sink, config);
   }
-  static void add(HostList& list, const std::string& id, const tcp::endpoint& at,
+  static void add(HostList& list, const std::string& id, const tcp::endpoint& endpoint,
                   HostState state = HostState::Healthy, Time started_at = 0) {
     load_balancer::Host host;
     host.id = id;
     host.state = state;
     host.started_at = started_at;
     list.hosts.push_back(host);
-    list.endpoints.push_back(at);
+    list.endpoints.push_back(endpoint);
   }
-  HostList onlyLate(HostState state = HostState::Healthy, Time started_at = 0) const {
+  HostList listOfLateHost(HostState state = HostState::Healthy, Time started_at = 0) const {
     HostList list;
     add(list, "s-late", late.endpoint(), state, started_at);
     return list;
   }
-  void ask(std::int32_t request_class, std::optional<ServiceGate::Service> service = {}) {
-    AdmittedRequest t;
-    t.service = service;
-    if (service) t.zone = owners.zone;
-    t.exchange = 1;
-    t.request.head.method = request_class == 0 ? "GET" : "POST";
-    t.request.head.target = "/a/7";
-    t.request.head.forward = "X-Correlation-Id: x\r\n";
-    t.request_class = request_class;
-    t.idempotency = settings().classes[static_cast<std::size_t>(request_class)].idempotency;
-    t.deadline = deadline = loop.clock.now() + kPatience;
-    pool->open(std::move(t));
-    loop.turn();  // its connection is under way
+  // Opens the only request, of this class, while the connection to its host is not established.
+  void openRequest(std::int32_t request_class, std::optional<ServiceGate::Service> service = {}) {
+    AdmittedRequest request;
+    request.service = service;
+    if (service) request.zone = service_gate.zone;
+    request.exchange = 1;
+    request.request.head.method = request_class == 0 ? "GET" : "POST";
+    request.request.head.target = "/a/7";
+    request.request.head.forward = "X-Correlation-Id: x\r\n";
+    request.request_class = request_class;
+    request.idempotency = settings().classes[static_cast<std::size_t>(request_class)].idempotency;
+    request.deadline = deadline = loop.clock.now() + kClientTimeout;
+    pool->open(std::move(request));
+    loop.turn();  // starts connecting
   }
-  // It has come up at last; then whatever would be written is written.
-  void comesUp() {
+  // Lets the connection be established, then leaves time for everything that would be written.
+  void openLateHost() {
     late.open();
-    ASSERT_TRUE(loop.until([&] { return late.come() > 0; }));
+    ASSERT_TRUE(loop.until([&] { return late.connections() > 0; }));
     for (int i = 0; i < 20; ++i) loop.turn();
   }
-  // The value of a header line that the late host was sent; empty: it has heard none of this name.
-  std::string toldLate(const std::string& name) const {
-    const std::string heard = late.heard();
-    const std::size_t at = heard.find("\r\n" + name + ": ");
-    if (at == std::string::npos) return {};
-    const std::size_t value = at + name.size() + 4;
-    return heard.substr(value, heard.find("\r\n", value) - value);
+  // The value of a header field that the late host received; empty: it received no field of this name.
+  std::string headerReceivedByLateHost(const std::string& name) const {
+    const std::string text = late.received();
+    const std::size_t start = text.find("\r\n" + name + ": ");
+    if (start == std::string::npos) return {};
+    const std::size_t value = start + name.size() + 4;
+    return text.substr(value, text.find("\r\n", value) - value);
   }
-  static constexpr Time kPatience = 3 * kSecond;
+  static constexpr Time kClientTimeout = 3 * kSecond;
   Time deadline = 0;  // the client's
-  Owners owners;
+  TestServiceGate service_gate;
   Loop loop;
   LateHost late{loop};
   Host other{loop};
@@ -183,130 +185,130 @@
   std::unique_ptr<Pool> pool;
 };
 
-TEST_F(LateConnection, NothingHappensMeanwhileAndItIsServed) {
-  pool->start(onlyLate());
-  ask(1);
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return late.heard().find("\r\n\r\n") != std::string::npos; }));
+TEST_F(LateConnection, RequestIsServedOnceConnected) {
+  pool->start(listOfLateHost());
+  openRequest(1);
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return late.received().find("\r\n\r\n") != std::string::npos; }));
   late.answer("served");
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(sink.last.status, 200);
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(sink.last_answer.status, 200);
 }
 
-// The system asks for a dropped connection again after a second: that much is gone by the first byte.
-TEST_F(LateConnection, TheHostIsToldTheTimeThatIsLeftWhenTheFirstByteIsWritten) {
+// The kernel retransmits the SYN after one second, so that much time has passed by the first byte.
+TEST_F(LateConnection, TimeLeftHeaderIsComputedWhenTheFirstByteIsWritten) {
   constexpr Time kSlack = 150 * kMillisecond;
-  pool->start(onlyLate());
-  ask(1);
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return late.heard().find("\r\n\r\n") != std::string::npos; }));
-  const std::optional<Time> told = parseSeconds(toldLate("X-Time-Left"));
-  ASSERT_TRUE(told);
-  EXPECT_LE(*told, kPatience - kSecond + kSlack);
-  EXPECT_GE(*told, deadline - loop.clock.now()) << "nor less than is left";
+  pool->start(listOfLateHost());
+  openRequest(1);
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return late.received().find("\r\n\r\n") != std::string::npos; }));
+  const std::optional<Time> time_left = parseSeconds(headerReceivedByLateHost("X-Time-Left"));
+  ASSERT_TRUE(time_left);
+  EXPECT_LE(*time_left, kClientTimeout - kSecond + kSlack);
+  EXPECT_GE(*time_left, deadline - loop.clock.now()) << "less than the client has left";
 }
 
-TEST_F(LateConnection, TheTermOfItsServiceChangesMeanwhileAndTheHostIsToldTheNewOne) {
-  pool->setGate(&owners);
-  pool->start(onlyLate());
-  ask(1, ServiceGate::Service{0});
-  owners.term = 2;
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return late.heard().find("\r\n\r\n") != std::string::npos; }));
-  EXPECT_EQ(toldLate("X-Service-Term"), "2");
+TEST_F(LateConnection, ServiceTermHeaderHasTheTermAtTheFirstByte) {
+  pool->setGate(&service_gate);
+  pool->start(listOfLateHost());
+  openRequest(1, ServiceGate::Service{0});
+  service_gate.term = 2;
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return late.received().find("\r\n\r\n") != std::string::npos; }));
+  EXPECT_EQ(headerReceivedByLateHost("X-Service-Term"), "2");
 }
 
-TEST_F(LateConnection, TheOwnerOfItsServiceChangesMeanwhileAndNothingIsSent) {
-  pool->setGate(&owners);
-  pool->start(onlyLate());
-  ask(1, ServiceGate::Service{0});
-  owners.zone = "b";
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(late.heard(), "");
-  EXPECT_EQ(sink.last.status, 503);
+TEST_F(LateConnection, NothingIsSentIfServiceOwnerChanges) {
+  pool->setGate(&service_gate);
+  pool->start(listOfLateHost());
+  openRequest(1, ServiceGate::Service{0});
+  service_gate.zone = "b";
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(late.received(), "");
+  EXPECT_EQ(sink.last_answer.status, 503);
 }
 
-TEST_F(LateConnection, TheClientLeavesMeanwhileAndNothingIsSent) {
-  pool->start(onlyLate());
-  ask(1);
+TEST_F(LateConnection, NothingIsSentIfClientDisconnects) {
+  pool->start(listOfLateHost());
+  openRequest(1);
   pool->onClientDisconnected(1);
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(late.heard(), "");
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(late.received(), "");
   EXPECT_EQ(sink.dispatched, 0);
   EXPECT_EQ(sink.answers, 0);
 }
 
-TEST_F(LateConnection, TheHostDrainsMeanwhileAndGetsNothing) {
-  pool->start(onlyLate());
-  ask(1);
-  pool->setHosts(onlyLate(HostState::Draining));
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(late.heard(), "");
-  EXPECT_EQ(sink.last.status, 503) << "it never ran: trying again is harmless";
+TEST_F(LateConnection, NothingIsSentIfHostStartsDraining) {
+  pool->start(listOfLateHost());
+  openRequest(1);
+  pool->setHosts(listOfLateHost(HostState::Draining));
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(late.received(), "");
+  EXPECT_EQ(sink.last_answer.status, 503) << "it never ran, so a retry is safe";
 }
 
-TEST_F(LateConnection, TheHostIsTakenFromTheListMeanwhileAndGetsNothing) {
-  pool->start(onlyLate());
-  ask(1);
+TEST_F(LateConnection, NothingIsSentIfHostIsRemovedFromList) {
+  pool->start(listOfLateHost());
+  openRequest(1);
   pool->setHosts({});
-  comesUp();
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(late.heard(), "");
-  EXPECT_EQ(sink.last.status, 503);
+  openLateHost();
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(late.received(), "");
+  EXPECT_EQ(sink.last_answer.status, 503);
 }
 
-TEST_F(LateConnection, TheHostHasMovedMeanwhileAndIsAskedWhereItIsNow) {
-  pool->start(onlyLate());
-  ask(1);
+TEST_F(LateConnection, RequestGoesToNewEndpointIfHostMoves) {
+  pool->start(listOfLateHost());
+  openRequest(1);
   HostList moved;
   add(moved, "s-late", other.endpoint());
   pool->setHosts(std::move(moved));
-  comesUp();
+  openLateHost();
   ASSERT_TRUE(loop.until([&] { return !other.peers.empty() && other.peers[0]->heard("\r\n\r\n"); }));
-  EXPECT_EQ(late.heard(), "") << "whoever is at its old address is not it";
+  EXPECT_EQ(late.received(), "") << "the old endpoint may belong to another host";
   other.peers[0]->say(answerOf("moved"));
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(sink.last.body, "moved");
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(sink.last_answer.body, "moved");
 }
 
-TEST_F(LateConnection, TheHostStartsAnewMeanwhileAndIsNotSentWhatItsColdShareDoesNotHold) {
-  pool->start(onlyLate());
-  ask(1);
-  pool->setHosts(onlyLate(HostState::Healthy, loop.clock.now()));
-  comesUp();
+TEST_F(LateConnection, NothingIsSentBeyondSlowStartShareIfHostRestarts) {
+  pool->start(listOfLateHost());
+  openRequest(1);
+  pool->setHosts(listOfLateHost(HostState::Healthy, loop.clock.now()));
+  openLateHost();
   for (int i = 0; i < 20; ++i) loop.turn();
-  EXPECT_EQ(late.heard(), "") << "its share was not spent when it was chosen";
+  EXPECT_EQ(late.received(), "") << "the slow start share has to be checked at the first byte too";
 }
 
-TEST_F(LateConnection, TheWindowOfItsKeyPassesMeanwhileAndItIsNotRepeated) {
-  HostList both;
-  add(both, "s-a", other.endpoint());
-  pool->start(both);
-  ask(2);
+TEST_F(LateConnection, NothingIsRetriedAfterDeduplicationWindow) {
+  HostList first;
+  add(first, "s-a", other.endpoint());
+  pool->start(first);
+  openRequest(2);
   ASSERT_TRUE(loop.until([&] { return !other.peers.empty() && other.peers[0]->heard("\r\n\r\n"); }));
-  pool->setHosts(onlyLate());
-  other.peers[0]->close();  // it may have run
+  pool->setHosts(listOfLateHost());
+  other.peers[0]->close();  // the attempt may have run
   loop.turn();
-  comesUp();  // a second after the first attempt, whose window was 0.7 s
-  ASSERT_TRUE(loop.until([&] { return sink.over == 1; }));
-  EXPECT_EQ(late.heard(), "");
+  openLateHost();  // one second after the first attempt; the window is 0.7 s
+  ASSERT_TRUE(loop.until([&] { return sink.completed == 1; }));
+  EXPECT_EQ(late.received(), "");
   EXPECT_EQ(sink.dispatched, 1);
-  EXPECT_NE(sink.last.status, 200);
+  EXPECT_NE(sink.last_answer.status, 200);
 }
 
-TEST_F(LateConnection, TheProcessHasToLeaveMeanwhileAndTheRequestHasItsAnswerInTime) {
-  pool->start(onlyLate());
-  ask(1);
-  const Time last = loop.clock.now() + 300 * kMillisecond;
-  pool->finishBy(last);
+TEST_F(LateConnection, RequestIsAnsweredByShutdownDeadlineWithoutConnection) {
+  pool->start(listOfLateHost());
+  openRequest(1);
+  const Time shutdown_deadline = loop.clock.now() + 300 * kMillisecond;
+  pool->finishBy(shutdown_deadline);
   ASSERT_TRUE(loop.until([&] { return sink.answers == 1; }));
-  EXPECT_GE(loop.clock.now(), last);
+  EXPECT_GE(loop.clock.now(), shutdown_deadline);
   late.open();
-  loop.until([&] { return sink.over == 1; });
-  EXPECT_EQ(late.heard(), "");
+  loop.until([&] { return sink.completed == 1; });
+  EXPECT_EQ(late.received(), "");
   EXPECT_EQ(sink.dispatched, 0);
 }
 
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -1,4 +1,5 @@
-// A pool by itself, and two side by side: each request one final answer, and one pool's trouble stays in it.
+// Tests of a single pool and of two pools side by side: every request gets exactly one final answer, and a
+// failing pool does not affect another.
 #include "pools/pool.h"
 
 #include <gtest/gtest.h>
@@ -15,16 +16,16 @@
   void onAnswer(const AdmittedRequest& request, Answer answer) override {
     const ExchangeId id = request.exchange;
     ++answers[id];
-    last[id] = std::move(answer);
+    last_answer[id] = std::move(answer);
   }
-  void onCompleted(const AdmittedRequest& request) override { ++over[request.exchange]; }
+  void onCompleted(const AdmittedRequest& request) override { ++completed[request.exchange]; }
   int status(ExchangeId id) const {
-    const auto it = last.find(id);
-    return it == last.end() ? 0 : it->second.status;
+    const auto it = last_answer.find(id);
+    return it == last_answer.end() ? 0 : it->second.status;
   }
   int dispatched = 0;
-  std::map<ExchangeId, int> answers, over;
-  std::map<ExchangeId, Answer> last;
+  std::map<ExchangeId, int> answers, completed;
+  std::map<ExchangeId, Answer> last_answer;
 };
 
 load_balancer::Settings settings() {
@@ -59,19 +60,21 @@
     }
     return list;
   }
-  AdmittedRequest taken(ExchangeId id, bool safe, const std::string& correlation = "x") {
-    AdmittedRequest t;
-    t.exchange = id;
-    t.request.head.method = safe ? "GET" : "POST";
-    t.request.head.target = "/a/7";
-    t.request.head.correlation = correlation;
-    t.request.head.forward = "X-Correlation-Id: " + correlation + "\r\n";
-    t.request_class = safe ? 0 : 1;
-    t.idempotency = safe ? load_balancer::Idempotency::Idempotent : load_balancer::Idempotency::NonIdempotent;
-    t.deadline = loop.clock.now() + 600 * kMillisecond;
-    return t;
+  AdmittedRequest admittedRequest(ExchangeId id, bool safe, const std::string& correlation = "x") {
+    AdmittedRequest request;
+    request.exchange = id;
+    request.request.head.method = safe ? "GET" : "POST";
+    request.request.head.target = "/a/7";
+    request.request.head.correlation = correlation;
+    request.request.head.forward = "X-Correlation-Id: " + correlation + "\r\n";
+    request.request_class = safe ? 0 : 1;
+    request.idempotency =
+        safe ? load_balancer::Idempotency::Idempotent : load_balancer::Idempotency::NonIdempotent;
+    request.deadline = loop.clock.now() + 600 * kMillisecond;
+    return request;
   }
-  static bool asked(const Host& host, std::size_t connections) {
+  // Every connection of the host has received a request head, and there are at least so many.
+  static bool allReceivedRequest(const Host& host, std::size_t connections) {
     if (host.peers.size() < connections) return false;
     for (const auto& p : host.peers) {
       if (!p->heard("\r\n\r\n")) return false;
@@ -84,71 +87,72 @@
   Recorder sink;
 };
 
-TEST_F(PoolTest, AnAnswerIsPassedOnOnceAndThenItIsOver) {
+TEST_F(PoolTest, ResponseIsForwardedOnceAndRequestCompletes) {
   const auto pool = make("", {host.endpoint()});
-  pool->open(taken(1, true));
-  ASSERT_TRUE(loop.until([&] { return asked(host, 1); }));
+  pool->open(admittedRequest(1, true));
+  ASSERT_TRUE(loop.until([&] { return allReceivedRequest(host, 1); }));
   EXPECT_EQ(pool->openRequests(), 1U);
   host.peers[0]->say(answerOf("served"));
-  ASSERT_TRUE(loop.until([&] { return sink.over[1] == 1; }));
+  ASSERT_TRUE(loop.until([&] { return sink.completed[1] == 1; }));
   EXPECT_EQ(sink.answers[1], 1);
-  EXPECT_EQ(sink.last[1].body, "served");
+  EXPECT_EQ(sink.last_answer[1].body, "served");
   EXPECT_EQ(pool->openRequests(), 0U);
 }
 
-TEST_F(PoolTest, AHostThatIsSilentCostsItsRequestAnAnswerInTimeAndNoMore) {
+TEST_F(PoolTest, UnresponsiveHostTimesOutWithoutRetryOfUnsafeRequest) {
   const auto pool = make("", {host.endpoint()});
-  pool->open(taken(1, false));
-  ASSERT_TRUE(loop.until([&] { return sink.over[1] == 1; }));
+  pool->open(admittedRequest(1, false));
+  ASSERT_TRUE(loop.until([&] { return sink.completed[1] == 1; }));
   EXPECT_EQ(sink.status(1), 504);
   EXPECT_EQ(sink.answers[1], 1);
-  EXPECT_EQ(host.peers.size(), 1U) << "it may have run: it was not sent again";
+  EXPECT_EQ(host.peers.size(), 1U) << "retried although it may have run";
 }
 
-TEST_F(PoolTest, WhoseClientHasGoneIsOverWithoutAnAnswer) {
+TEST_F(PoolTest, RequestOfDisconnectedClientCompletesWithoutAnswer) {
   const auto pool = make("", {host.endpoint()});
-  pool->open(taken(1, true));
-  ASSERT_TRUE(loop.until([&] { return asked(host, 1); }));
+  pool->open(admittedRequest(1, true));
+  ASSERT_TRUE(loop.until([&] { return allReceivedRequest(host, 1); }));
   pool->onClientDisconnected(1);
   pool->onClientDisconnected(1);
-  ASSERT_TRUE(loop.until([&] { return sink.over[1] == 1; }));
+  ASSERT_TRUE(loop.until([&] { return sink.completed[1] == 1; }));
   EXPECT_EQ(sink.answers[1], 0);
   EXPECT_EQ(pool->openRequests(), 0U);
 }
 
-TEST_F(PoolTest, HostsThatAreTakenOutEndWhatTheyHave) {
+TEST_F(PoolTest, RemovedHostFinishesInFlightRequestAndGetsNoNewOne) {
   const auto pool = make("", {host.endpoint()});
-  pool->open(taken(1, false));
-  ASSERT_TRUE(loop.until([&] { return asked(host, 1); }));
+  pool->open(admittedRequest(1, false));
+  ASSERT_TRUE(loop.until([&] { return allReceivedRequest(host, 1); }));
   pool->setHosts(listOf({}));
-  pool->open(taken(2, false, "y"));
+  pool->open(admittedRequest(2, false, "y"));
   host.peers[0]->say(answerOf("old"));
-  ASSERT_TRUE(loop.until([&] { return sink.over[1] == 1 && sink.over[2] == 1; }));
+  ASSERT_TRUE(loop.until([&] { return sink.completed[1] == 1 && sink.completed[2] == 1; }));
   EXPECT_EQ(sink.status(1), 200);
-  EXPECT_EQ(sink.status(2), 503) << "nothing ran: repeating is harmless";
+  EXPECT_EQ(sink.status(2), 503) << "it never ran, so a retry is safe";
   EXPECT_EQ(host.peers.size(), 1U);
 }
 
-// All hosts of one accept and never answer; the other's requests are all served meanwhile, also under the
-// same ids.
-TEST_F(PoolTest, OnePoolsTroubleStaysInIt) {
-  const auto silent = make("readings", {host.endpoint()}), sound = make("charges", {other.endpoint()});
-  for (ExchangeId id = 1; id <= 40; ++id) silent->open(taken(id, false, "id-" + std::to_string(id)));
+// The host of one pool accepts connections and never answers. All requests of the other pool are served
+// meanwhile, even though they have the same correlation ids.
+TEST_F(PoolTest, FailingPoolDoesNotAffectAnotherPool) {
+  const auto failing = make("readings", {host.endpoint()}), healthy = make("charges", {other.endpoint()});
+  for (ExchangeId id = 1; id <= 40; ++id)
+    failing->open(admittedRequest(id, false, "id-" + std::to_string(id)));
   for (ExchangeId id = 1'001; id <= 1'040; ++id) {
-    const std::string same = "id-" + std::to_string(id - 1'000);
-    sound->open(taken(id, false, same));
-    std::shared_ptr<Peer> holder;
+    const std::string correlation = "id-" + std::to_string(id - 1'000);
+    healthy->open(admittedRequest(id, false, correlation));
+    std::shared_ptr<Peer> connection;
     ASSERT_TRUE(loop.until([&] {
       for (const auto& p : other.peers) {
-        if (p->heard("X-Correlation-Id: " + same + "\r\n")) holder = p;
+        if (p->heard("X-Correlation-Id: " + correlation + "\r\n")) connection = p;
       }
-      return holder != nullptr;
+      return connection != nullptr;
     })) << id;
-    holder->say(answerOf("charged"));
-    ASSERT_TRUE(loop.until([&] { return sink.over[id] == 1; })) << id;
+    connection->say(answerOf("charged"));
+    ASSERT_TRUE(loop.until([&] { return sink.completed[id] == 1; })) << id;
   }
   for (ExchangeId id = 1'001; id <= 1'040; ++id) EXPECT_EQ(sink.status(id), 200) << id;
-  ASSERT_TRUE(loop.until([&] { return silent->openRequests() == 0; }));
+  ASSERT_TRUE(loop.until([&] { return failing->openRequests() == 0; }));
   for (ExchangeId id = 1; id <= 40; ++id) {
     EXPECT_EQ(sink.answers[id], 1) << id;
     EXPECT_GE(sink.status(id), 500) << id;
--- a/tests/proxy_support.h
+++ b/tests/proxy_support.h
@@ -1,4 +1,5 @@
-// Shared by the tests of the whole client proxy: its configuration, a scripted discovery, the program itself.
+// Fixtures for tests of the whole client proxy: configuration files, scripted discovery responses, the proxy
+// in this process and the program as a process of its own.
 #pragma once
 
 #include <fcntl.h>
@@ -24,19 +25,22 @@
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
 
+// An entry of the host list as discovery sends it.
 inline json entry(const std::string& uid, const tcp::endpoint& at, const char* state = "active") {
   return {{"uid", uid}, {"endpoint", textOf(at)}, {"az", "a"}, {"state", state}};
 }
 
+// One line of the host list stream, as a chunk (RFC 9112, 7.1). `full`: `targets` is the whole list.
 inline std::string line(int revision, bool full, const json& targets) {
   const std::string text = json{{"rev", revision}, {"all", full}, {"targets", targets}}.dump() + "\n";
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   return size + text + "\r\n";
 }
+// The response head of a watch.
 inline const std::string kWatch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// A configuration file of its own, and the environment that names it.
+// A temporary configuration file, and the environment that refers to it. `known`: the known host list.
 class ConfigFile {
  public:
   ConfigFile(const json& known, const tcp::endpoint& discovery) {
@@ -63,6 +67,7 @@
   std::string path;
 };
 
+// A request of an idempotent class.
 inline std::string request(const std::string& id, const std::string& extra = "") {
   return "GET /slot-status/7 HTTP/1.1\r\nHost: h\r\nX-Account: acme\r\nX-Correlation-Id: " + id + "\r\n" +
          extra + "\r\n";
@@ -70,7 +75,7 @@
 
 class ProxyTest : public ::testing::Test {
  protected:
-  // `change` may alter the configuration before it is used.
+  // Starts the proxy with the known hosts `known`; `change` may alter the configuration first.
   void start(const json& known, const std::function<void(Config&)>& change = {}) {
     file = std::make_unique<ConfigFile>(known, discovery.endpoint());
     Config config = readConfig(file->environment());
@@ -79,9 +84,11 @@
     proxy->start();
   }
   std::shared_ptr<Peer> client() { return Peer::connect(loop, proxy->localEndpoint()); }
+  // Waits for a request and returns the latest connection; null if none arrives.
   std::shared_ptr<Peer> watch(Host& at) {
-    const bool come = loop.until([&] { return !at.peers.empty() && at.peers.back()->heard("\r\n\r\n"); });
-    return come ? at.peers.back() : nullptr;
+    const bool requested =
+        loop.until([&] { return !at.peers.empty() && at.peers.back()->heard("\r\n\r\n"); });
+    return requested ? at.peers.back() : nullptr;
   }
   Loop loop;
   Host host{loop}, other{loop}, discovery{loop}, moved{loop};
@@ -89,21 +96,22 @@
   std::unique_ptr<Proxy> proxy;
 };
 
-// A port for the program, on an address that no other test uses: nobody takes it before the program does.
+// A port for the program. Its address depends on this process's id, so that no other test takes the port
+// first.
 inline tcp::endpoint freePort(Loop& loop) {
   const auto pid = static_cast<unsigned>(getpid());
   const asio::ip::address_v4 address(0x7F'4D'00'00U | (pid & 0xFFFFU));
   return tcp::acceptor(loop.io, tcp::endpoint(address, 0)).local_endpoint();
 }
 
-// The program itself: signals are its business.
+// The proxy program as a child process, for tests of signals and exit. Killed on destruction.
 class Program {
  public:
   explicit Program(const ConfigFile& file)
       : Program({}, {"PROXY_CONFIG=" + file.path,
                      "PROXY_DISCOVERY=" + file.doc["discovery"].get<std::string>()}) {}
-  // `log`: the file that its standard error goes to; empty: ours.
-  // `inherited`: a descriptor that it gets as its descriptor 3; -1: none.
+  // `log`: the file that receives its standard error; empty: the test's standard error.
+  // `inherited`: passed to it as descriptor 3; -1: none.
   Program(std::vector<std::string> arguments, std::vector<std::string> environment,
           const std::string& log = {}, int inherited = -1) {
     arguments.insert(arguments.begin(), CLIENT_PROXY_PROGRAM);
@@ -113,7 +121,7 @@
       posix_spawn_file_actions_addopen(&actions, 2, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     if (inherited >= 0) {
       posix_spawn_file_actions_adddup2(&actions, inherited, 3);
-      posix_spawn_file_actions_addclosefrom_np(&actions, 4);  // none of ours
+      posix_spawn_file_actions_addclosefrom_np(&actions, 4);  // closes the test's other descriptors
     }
     if (posix_spawn(&pid_, CLIENT_PROXY_PROGRAM, &actions, nullptr, pointers(arguments).data(),
                     pointers(environment).data()) != 0)
@@ -126,21 +134,21 @@
     waitpid(pid_, nullptr, 0);
   }
   void signal(int number) const { kill(pid_, number); }
-  // The exit status; -1 while it runs.
+  // The exit status, or 1000 plus the wait status if a signal ended it; -1 while it runs.
   int status() {
-    int value = 0;
-    if (pid_ <= 0 || waitpid(pid_, &value, WNOHANG) != pid_) return -1;
+    int wait_status = 0;
+    if (pid_ <= 0 || waitpid(pid_, &wait_status, WNOHANG) != pid_) return -1;
     pid_ = -1;
-    return WIFEXITED(value) ? WEXITSTATUS(value) : 1000 + value;
+    return WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : 1000 + wait_status;
   }
   bool runs() { return pid_ > 0 && waitpid(pid_, nullptr, WNOHANG) == 0; }
 
  private:
   static std::vector<char*> pointers(std::vector<std::string>& texts) {
-    std::vector<char*> all;
-    for (std::string& t : texts) all.push_back(t.data());
-    all.push_back(nullptr);
-    return all;
+    std::vector<char*> result;
+    for (std::string& t : texts) result.push_back(t.data());
+    result.push_back(nullptr);
+    return result;
   }
   pid_t pid_ = -1;
 };
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,10 +1,10 @@
-// The whole client proxy on loopback sockets: a scripted client, host and discovery around the real parts.
+// Tests of the whole client proxy over loopback sockets, with scripted clients, hosts and discovery.
 #include "proxy_support.h"
 
 namespace client_proxy::test {
 namespace {
 
-TEST_F(ProxyTest, TheIdOfAnOpenRequestIsTakenOnce) {
+TEST_F(ProxyTest, CorrelationIdOfOpenRequestIsRejectedUntilItIsDone) {
   start(json::array({entry("s-1", host.endpoint())}));
   const auto first = client(), second = client();
   first->say(request("same"));
@@ -14,24 +14,24 @@
   host.peers[0]->say(answerOf("hello"));
   ASSERT_TRUE(loop.until([&] { return first->heard("hello"); }));
   EXPECT_EQ(host.peers.size(), 1U);
-  second->say(request("same"));  // and is free again then
+  second->say(request("same"));  // accepted again after the first request is done
   ASSERT_TRUE(
       loop.until([&] { return host.peers[0]->got.rfind("same") != host.peers[0]->got.find("same"); }));
 }
 
-TEST_F(ProxyTest, ARequestThatAHostFindsFaultWithFailsAndIsNotRepeated) {
+TEST_F(ProxyTest, BadRequestResponseFailsWithoutRetry) {
   start({entry("s-1", host.endpoint()), entry("s-2", other.endpoint())});
   const auto c = client();
   c->say(request("a"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() + other.peers.size() == 1; }));
-  const auto asked = host.peers.empty() ? other.peers[0] : host.peers[0];
-  asked->say("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+  const auto first = host.peers.empty() ? other.peers[0] : host.peers[0];
+  first->say("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(loop.until([&] { return c->heard("HTTP/1.1 5"); }));
   EXPECT_TRUE(c->heard("HTTP/1.1 502"));
   EXPECT_EQ(host.peers.size() + other.peers.size(), 1U);
 }
 
-TEST_F(ProxyTest, ASpoiltAnswerIsRepeatedElsewhereIfThatIsSafeAndFailsAtOnceIfNot) {
+TEST_F(ProxyTest, InvalidResponseIsRetriedOnAnotherHostOnlyIfRequestIsIdempotent) {
   start({entry("s-1", host.endpoint()), entry("s-2", other.endpoint())});
   const auto c = client();
   c->say(request("a"));
@@ -46,7 +46,7 @@
   c->say(
       "POST /swap-charge/7 HTTP/1.1\r\nHost: h\r\nX-Account: acme\r\nX-Correlation-Id: b\r\nContent-Length: "
       "2\r\n\r\nhi");
-  const auto holder = [&]() -> std::shared_ptr<Peer> {
+  const auto connection = [&]() -> std::shared_ptr<Peer> {
     for (Host* h : {&host, &other}) {
       for (const auto& p : h->peers) {
         if (p->heard("swap-charge")) return p;
@@ -54,13 +54,13 @@
     }
     return nullptr;
   };
-  ASSERT_TRUE(loop.until([&] { return holder() != nullptr; }));
-  holder()->say("noise");
+  ASSERT_TRUE(loop.until([&] { return connection() != nullptr; }));
+  connection()->say("noise");
   ASSERT_TRUE(loop.until([&] { return c->heard("HTTP/1.1 502"); }));
   EXPECT_LE(host.peers.size() + other.peers.size(), before + 1);
 }
 
-TEST_F(ProxyTest, AMovedDiscoveryIsAskedForTheWholeListAndItsRevisionsAreItsOwn) {
+TEST_F(ProxyTest, NewDiscoveryEndpointIsQueriedFromRevisionZeroAndReplacesTheOldWatch) {
   start(json::array({entry("s-1", host.endpoint())}));
   const auto old_watch = watch(discovery);
   ASSERT_TRUE(old_watch);
@@ -71,7 +71,7 @@
   const auto new_watch = watch(moved);
   ASSERT_TRUE(new_watch);
   EXPECT_TRUE(new_watch->heard("from=0 "));
-  EXPECT_FALSE(old_watch->ended);  // until the new one has told something
+  EXPECT_FALSE(old_watch->ended);  // until the first list of the new watch
   new_watch->say(kWatch + line(3, true, json::array({entry("s-2", other.endpoint())})));
   ASSERT_TRUE(loop.until([&] { return old_watch->ended; }));
   const auto c = client();
@@ -80,17 +80,18 @@
   EXPECT_TRUE(host.peers.empty());
 }
 
-// What a silent watch misses counts as told 6 s after it fell silent: by then it has been begun anew.
-TEST_F(ProxyTest, ASilentWatchIsBegunAnewBeforeWhatItMissesCountsAsTold) {
+// Changes during a silent watch are held against the proxy 6 s after the silence began, so the watch has to
+// be restarted before that.
+TEST_F(ProxyTest, SilentWatchIsRestartedWithinSixSecondsFromLastRevision) {
   start(json::array({entry("s-1", host.endpoint())}));
   const auto first = watch(discovery);
   ASSERT_TRUE(first);
   first->say(kWatch + line(500, true, json::array({entry("s-1", host.endpoint())})));
-  const Time silent_from = loop.clock.now();
+  const Time silence_began = loop.clock.now();
   ASSERT_TRUE(
       loop.until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->heard("\r\n\r\n"); }));
-  EXPECT_LT(loop.clock.now() - silent_from, 6 * kSecond);
-  EXPECT_TRUE(discovery.peers[1]->heard("from=500 ")) << "from what it has";
+  EXPECT_LT(loop.clock.now() - silence_began, 6 * kSecond);
+  EXPECT_TRUE(discovery.peers[1]->heard("from=500 ")) << "expected a restart from the last revision";
   discovery.peers[1]->say(
       kWatch + line(501, false,
                     json::array({entry("s-1", host.endpoint(), "leaving"), entry("s-2", other.endpoint())})));
@@ -101,14 +102,14 @@
   }));
 }
 
-TEST_F(ProxyTest, OneBadEntryCostsNothingOfTheOthersNews) {
+TEST_F(ProxyTest, InvalidListEntriesDoNotAffectValidOnes) {
   start(json::array({entry("s-1", host.endpoint())}));
   const auto w = watch(discovery);
   ASSERT_TRUE(w);
-  const json bad = {{"uid", "s-1"}, {"endpoint", "nowhere"}, {"state", "active"}};
-  const json worse = {{"uid", 7}};
-  w->say(kWatch + line(2, true, json::array({bad, worse, "?", entry("s-2", other.endpoint())})));
-  // s-2 is known now, and s-1 still is: with both busy in turn, each is asked.
+  const json bad_endpoint = {{"uid", "s-1"}, {"endpoint", "nowhere"}, {"state", "active"}};
+  const json bad_uid = {{"uid", 7}};
+  w->say(kWatch + line(2, true, json::array({bad_endpoint, bad_uid, "?", entry("s-2", other.endpoint())})));
+  // s-2 was added and s-1 kept: of two concurrent requests, each host gets one.
   const auto one = client(), two = client();
   ASSERT_TRUE(loop.until([&] { return proxy->upstream().knows("s-2"); }));
   EXPECT_TRUE(proxy->upstream().knows("s-1"));
@@ -118,7 +119,7 @@
   EXPECT_FALSE(w->ended);
 }
 
-TEST_F(ProxyTest, AnAddressHasOneHostTheOneThatStartedLast) {
+TEST_F(ProxyTest, LastStartedHostReplacesOthersAtItsEndpoint) {
   start(json::array({entry("s-1", host.endpoint())}));
   const auto w = watch(discovery);
   ASSERT_TRUE(w);
@@ -132,7 +133,7 @@
   w->say(kWatch + line(2, false, json::array({replacement})));
   ASSERT_TRUE(loop.until([&] { return proxy->upstream().knows("s-2"); }));
   EXPECT_FALSE(proxy->upstream().knows("s-1"));
-  // Later news of the one that was replaced does not bring it back.
+  // A later update of the replaced host does not restore it.
   w->say(line(3, false,
               json::array({entry("s-1", host.endpoint(), "leaving"), entry("s-3", other.endpoint())})));
   ASSERT_TRUE(loop.until([&] { return proxy->upstream().knows("s-3"); }));
@@ -140,11 +141,11 @@
   EXPECT_TRUE(proxy->upstream().knows("s-2"));
 }
 
-// RFC 9112: what is taken in which form, and what the host gets.
-TEST_F(ProxyTest, EachFormOfARequestIsTakenOrRefusedPlainly) {
+// The request forms of RFC 9112: which are accepted, and the request line that the host receives.
+TEST_F(ProxyTest, RequestFormsAreForwardedOrRejectedPerRfc9112) {
   start(json::array({entry("s-1", host.endpoint())}));
   int n = 0;
-  const auto ask = [&](const std::string& line, const std::string& fields) {
+  const auto request_line_or_status = [&](const std::string& line, const std::string& fields) {
     const auto c = client();
     c->say(line + "\r\nX-Account: acme\r\nX-Correlation-Id: f" + std::to_string(n++) + "\r\n" + fields);
     const std::size_t before = host.peers.empty() ? 0 : host.peers[0]->got.size();
@@ -159,27 +160,33 @@
     return got.substr(0, got.find("\r\n"));
   };
   const std::string h = "Host: h\r\n\r\n";
-  EXPECT_EQ(ask("GET /slot-status/7 HTTP/1.1", h), "GET /slot-status/7 HTTP/1.1");
-  EXPECT_EQ(ask("GET http://h/slot-status/7?a=b HTTP/1.1", h), "GET /slot-status/7?a=b HTTP/1.1");
-  EXPECT_EQ(ask("GET HTTP://h:80/slot-status/7 HTTP/1.1", h), "GET /slot-status/7 HTTP/1.1");
-  EXPECT_EQ(ask("GET http://h HTTP/1.1", h), "404");
-  EXPECT_EQ(ask("GET http://h?x HTTP/1.1", h), "404");
-  EXPECT_EQ(ask("GET httpx://h/slot-status/7 HTTP/1.1", h), "404");
-  EXPECT_EQ(ask("GET /slot-status/7 HTTP/1.1", "\r\n"), "400");  // no Host
-  EXPECT_EQ(ask("GET /slot-status/7 HTTP/1.0", "\r\n"), "GET /slot-status/7 HTTP/1.1");
-  EXPECT_EQ(ask("GET /slot-status/7 HTTP/1.1", "Host: h\r\nHost: i\r\n\r\n"), "400");
-  EXPECT_EQ(ask("GET /slot-status/7 HTTP/2.0", h), "400");
-  EXPECT_EQ(ask("HEAD /slot-status/7 HTTP/1.1", h), "405");
-  EXPECT_EQ(ask("OPTIONS * HTTP/1.1", h), "404");
-  EXPECT_EQ(ask("POST /swap-charge/7 HTTP/1.1", "Content-Length: 0\r\n" + h), "POST /swap-charge/7 HTTP/1.1");
-  EXPECT_EQ(ask("POST /swap-charge/7 HTTP/1.1", "Transfer-Encoding: gzip, chunked\r\n" + h), "400");
-  EXPECT_EQ(ask("POST /swap-charge/7 HTTP/1.1", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n" + h),
+  EXPECT_EQ(request_line_or_status("GET /slot-status/7 HTTP/1.1", h), "GET /slot-status/7 HTTP/1.1");
+  EXPECT_EQ(request_line_or_status("GET http://h/slot-status/7?a=b HTTP/1.1", h),
+            "GET /slot-status/7?a=b HTTP/1.1");
+  EXPECT_EQ(request_line_or_status("GET HTTP://h:80/slot-status/7 HTTP/1.1", h),
+            "GET /slot-status/7 HTTP/1.1");
+  EXPECT_EQ(request_line_or_status("GET http://h HTTP/1.1", h), "404");
+  EXPECT_EQ(request_line_or_status("GET http://h?x HTTP/1.1", h), "404");
+  EXPECT_EQ(request_line_or_status("GET httpx://h/slot-status/7 HTTP/1.1", h), "404");
+  EXPECT_EQ(request_line_or_status("GET /slot-status/7 HTTP/1.1", "\r\n"), "400");  // no Host
+  EXPECT_EQ(request_line_or_status("GET /slot-status/7 HTTP/1.0", "\r\n"), "GET /slot-status/7 HTTP/1.1");
+  EXPECT_EQ(request_line_or_status("GET /slot-status/7 HTTP/1.1", "Host: h\r\nHost: i\r\n\r\n"), "400");
+  EXPECT_EQ(request_line_or_status("GET /slot-status/7 HTTP/2.0", h), "400");
+  EXPECT_EQ(request_line_or_status("HEAD /slot-status/7 HTTP/1.1", h), "405");
+  EXPECT_EQ(request_line_or_status("OPTIONS * HTTP/1.1", h), "404");
+  EXPECT_EQ(request_line_or_status("POST /swap-charge/7 HTTP/1.1", "Content-Length: 0\r\n" + h),
+            "POST /swap-charge/7 HTTP/1.1");
+  EXPECT_EQ(
+      request_line_or_status("POST /swap-charge/7 HTTP/1.1", "Transfer-Encoding: gzip, chunked\r\n" + h),
+      "400");
+  EXPECT_EQ(request_line_or_status("POST /swap-charge/7 HTTP/1.1",
+                                   "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n" + h),
             "400");
-  EXPECT_EQ(ask("POST /swap-charge/7 HTTP/1.1", "Content-Length: 3, 4\r\n" + h), "400");
-  EXPECT_EQ(ask("POST /swap-charge/7 HTTP/1.1", "Content-Length: -3\r\n" + h), "400");
+  EXPECT_EQ(request_line_or_status("POST /swap-charge/7 HTTP/1.1", "Content-Length: 3, 4\r\n" + h), "400");
+  EXPECT_EQ(request_line_or_status("POST /swap-charge/7 HTTP/1.1", "Content-Length: -3\r\n" + h), "400");
 }
 
-TEST(Program, OutlivesSighupAndTakesOnlyConfigurationsThatCanBeRead) {
+TEST(Program, SighupKeepsOldConfigurationIfNewOneIsInvalidAndAppliesValidOne) {
   Loop loop;
   Host host(loop), discovery(loop), moved(loop);
   ConfigFile file(json::array({entry("s-1", host.endpoint())}), discovery.endpoint());
@@ -187,7 +194,7 @@
   file.doc["listen"] = textOf(listen);
   file.write(file.doc.dump());
   Program program(file);
-  // Ready once its watch is there: the handlers of signals are set before that.
+  // The signal handlers are installed before the watch on discovery is opened.
   ASSERT_TRUE(loop.until([&] { return discovery.peers.size() == 1; }));
   file.write("{\"discovery\":");
   program.signal(SIGHUP);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,10 +1,11 @@
-// What crosses the end of a process: docs/crossings.md has the list.
+// Tests of requests and connections that are in progress when the process shuts down. docs/crossings.md lists
+// these cases.
 #include "proxy_support.h"
 
 namespace client_proxy::test {
 namespace {
 
-// The program with one host; each class's clients wait for this long.
+// The program with one host; every class has the deadline given to start().
 class Shutdown : public ::testing::Test {
  protected:
   void start(Time deadline) {
@@ -16,9 +17,10 @@
   }
   void terminate() {
     program->signal(SIGTERM);
-    told = loop.clock.now();
+    sigterm_at = loop.clock.now();
   }
-  Time sinceTold() const { return loop.clock.now() - told; }
+  Time sinceSigterm() const { return loop.clock.now() - sigterm_at; }
+  // Waits for the program to exit, and sets `status`.
   bool ended() {
     return loop.until([&] { return (status = program->status()) != -1; });
   }
@@ -27,11 +29,11 @@
   ConfigFile file{json::array({entry("s-1", host.endpoint())}), discovery.endpoint()};
   const tcp::endpoint listen = freePort(loop);
   std::unique_ptr<Program> program;
-  Time told = 0;
+  Time sigterm_at = 0;
   int status = -1;
 };
 
-TEST_F(Shutdown, AfterSigtermItTakesWhatStillComesAndAnswersAllItHasTaken) {
+TEST_F(Shutdown, AcceptsNewConnectionsAfterSigtermAndAnswersEveryRequest) {
   start(3 * kSecond);
   const auto held = Peer::connect(loop, listen);
   held->say(request("held"));
@@ -51,8 +53,8 @@
   EXPECT_EQ(status, 0);
 }
 
-// Clients send on every connection that stays open, up to SIGKILL.
-TEST_F(Shutdown, AfterSigtermWhatComesOnAConnectionThatStaysOpenIsAnswered) {
+// Clients keep sending on every connection that stays open, until SIGKILL.
+TEST_F(Shutdown, RequestOnOpenConnectionAfterSigtermIsAnswered) {
   start(3 * kSecond);
   const auto kept = Peer::connect(loop, listen);
   kept->say(request("first"));
@@ -60,7 +62,7 @@
   terminate();
   host.peers[0]->say(answerOf("one"));
   ASSERT_TRUE(loop.until([&] { return kept->heard("one"); }));
-  // Whether it said that it closes or not: as long as it has not, what comes is answered.
+  // The answer may announce that the connection closes. If it does not, a further request is answered.
   if (!kept->heard("Connection: close")) {
     kept->say(request("second"));
     ASSERT_TRUE(loop.until([&] {
@@ -76,29 +78,29 @@
   EXPECT_EQ(status, 0);
 }
 
-// SIGKILL comes 3.7 s after SIGTERM at the soonest, though a client would wait for 9 s.
-TEST_F(Shutdown, ARequestWhoseClientWaitsLongerThanTheProcessLivesHasItsAnswerBefore) {
+// SIGKILL follows SIGTERM after 3.7 s at the earliest, while a client would wait for 9 s.
+TEST_F(Shutdown, RequestsWithLongDeadlinesAreAnsweredBeforeSigkill) {
   start(9 * kSecond);
   const auto held = Peer::connect(loop, listen);
   held->say(request("held"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 1 && host.peers[0]->heard("held"); }));
   terminate();
-  // It may come in the last moment too.
+  // A request may also arrive after SIGTERM.
   const auto late = Peer::connect(loop, listen);
   late->say(request("late"));
   ASSERT_TRUE(loop.until([&] { return held->ended && late->ended; }));
-  EXPECT_LT(sinceTold(), 3700 * kMillisecond);
+  EXPECT_LT(sinceSigterm(), 3700 * kMillisecond);
   for (const auto& c : {held, late}) {
     EXPECT_TRUE(c->heard("HTTP/1.1 503") && c->heard("Connection: close")) << c->got;
-    EXPECT_TRUE(c->got.ends_with("\r\n\r\n")) << "whole: " << c->got;
+    EXPECT_TRUE(c->got.ends_with("\r\n\r\n")) << "incomplete: " << c->got;
     EXPECT_FALSE(c->reset);
   }
   ASSERT_TRUE(ended());
   EXPECT_EQ(status, 0);
 }
 
-// An unsafe one that may have run is not refused, which would say that trying again is harmless.
-TEST_F(Shutdown, AnUnsafeRequestThatMayHaveRunFailsBeforeTheProcessLeaves) {
+// A 503 would tell the client that a retry is safe, so an unsafe request that may have run gets a 504.
+TEST_F(Shutdown, UnsafeRequestThatMayHaveRunFailsWith504BeforeExit) {
   start(9 * kSecond);
   const auto held = Peer::connect(loop, listen);
   held->say("POST /swap-charge/7 HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: held\r\nContent-Length: 0\r\n\r\n");
@@ -111,22 +113,22 @@
   EXPECT_EQ(host.peers.size(), 1U);
 }
 
-// Where clients wait for 0.3 s SIGKILL may come after 1 s, whoever keeps a connection open.
-TEST_F(Shutdown, TheTimeToLeaveFollowsFromTheSettings) {
+// With deadlines of 0.3 s SIGKILL may follow after 1 s, even if clients keep connections open.
+TEST_F(Shutdown, ShutdownTimeFollowsFromClassDeadlines) {
   start(300 * kMillisecond);
-  const auto half = Peer::connect(loop, listen);
-  half->say("GET /slot-status/7 HTTP/1.1\r\nHost:");
-  const auto known = Peer::connect(loop, listen);
-  known->say("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  ASSERT_TRUE(loop.until([&] { return half->said == 1 && known->heard("200"); }));
+  const auto incomplete = Peer::connect(loop, listen);
+  incomplete->say("GET /slot-status/7 HTTP/1.1\r\nHost:");
+  const auto served = Peer::connect(loop, listen);
+  served->say("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+  ASSERT_TRUE(loop.until([&] { return incomplete->said == 1 && served->heard("200"); }));
   terminate();
   ASSERT_TRUE(ended());
   EXPECT_EQ(status, 0);
-  EXPECT_LT(sinceTold(), 2 * kSecond) << "0.9 s, and what this machine is late";
+  EXPECT_LT(sinceSigterm(), 2 * kSecond) << "0.9 s plus scheduling delay";
 }
 
-// The first decides; what a reload finds while the process ends does not stop it.
-TEST_F(Shutdown, AFurtherSigtermAndAReloadMeanwhileChangeNothingOfTheEnd) {
+// The first SIGTERM starts the shutdown; a second one or a reload meanwhile does not change or stop it.
+TEST_F(Shutdown, SecondSigtermAndReloadDoNotAffectShutdown) {
   start(2 * kSecond);
   const auto held = Peer::connect(loop, listen);
   held->say(request("held"));
@@ -136,7 +138,7 @@
   file.write(file.doc.dump());
   program->signal(SIGHUP);
   program->signal(SIGTERM);
-  ASSERT_TRUE(loop.until([&] { return moved.peers.size() == 1; })) << "it was read again";
+  ASSERT_TRUE(loop.until([&] { return moved.peers.size() == 1; })) << "the configuration was not reloaded";
   host.peers[0]->say(answerOf("served"));
   ASSERT_TRUE(loop.until([&] { return held->ended; }));
   EXPECT_TRUE(held->heard("served"));
@@ -145,14 +147,14 @@
   EXPECT_EQ(status, 0);
 }
 
-// Two in one breath: the answer to the first closes the connection, and the second was never taken.
-TEST_F(Shutdown, WhatStandsBehindARequestThatIsAnsweredAfterSigtermIsNeverSentOn) {
+// Two pipelined requests: the answer to the first closes the connection, so the second must not be forwarded.
+TEST_F(Shutdown, PipelinedRequestBehindLastAnswerIsNotForwarded) {
   start(2 * kSecond);
   const auto c = Peer::connect(loop, listen);
-  c->say(request("first") + request("behind"));
+  c->say(request("first") + request("pipelined"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 1 && host.peers[0]->heard("first"); }));
   terminate();
-  // The signal is taken before the answer: it is at work on what comes after it.
+  // The program handles the signal before the answer to the first request: it already serves a later request.
   const auto late = Peer::connect(loop, listen);
   late->say(request("late"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 2 && host.peers[1]->heard("late"); }));
@@ -166,28 +168,28 @@
   late->close();
   ASSERT_TRUE(ended());
   EXPECT_EQ(status, 0);
-  for (const auto& p : host.peers) EXPECT_FALSE(p->heard("behind"));
+  for (const auto& p : host.peers) EXPECT_FALSE(p->heard("pipelined"));
 }
 
-// Whoever rests is told so by the end of our sending, never by a reset, and what it says then reaches no
+// An idle connection is closed by a FIN, never by a reset, and requests that arrive on it afterwards reach no
 // host.
-TEST_F(Shutdown, AConnectionAtRestIsEndedAndWhatComesInThatMomentIsNeverSentOn) {
+TEST_F(Shutdown, IdleConnectionEndsWithoutResetAndLateRequestsAreNotForwarded) {
   start(1 * kSecond);
-  const auto resting = Peer::connect(loop, listen);
-  resting->say(request("first"));
+  const auto idle = Peer::connect(loop, listen);
+  idle->say(request("first"));
   ASSERT_TRUE(loop.until([&] { return host.peers.size() == 1 && host.peers[0]->heard("first"); }));
   host.peers[0]->say(answerOf("one"));
-  ASSERT_TRUE(loop.until([&] { return resting->heard("one"); }));
+  ASSERT_TRUE(loop.until([&] { return idle->heard("one"); }));
   terminate();
-  ASSERT_TRUE(loop.until([&] { return resting->ended; }));
-  EXPECT_FALSE(resting->reset);
-  // It has not noticed yet: this crosses the end. A reset would come between the two.
+  ASSERT_TRUE(loop.until([&] { return idle->ended; }));
+  EXPECT_FALSE(idle->reset);
+  // These requests cross the FIN. If the proxy sent a reset, it would arrive between the two.
   for (const char* id : {"crossing", "crossing-too"}) {
-    resting->say(request(id));
-    ASSERT_TRUE(loop.until([&] { return resting->said + resting->failed == (id[8] == 0 ? 2 : 3); }));
+    idle->say(request(id));
+    ASSERT_TRUE(loop.until([&] { return idle->said + idle->failed == (id[8] == 0 ? 2 : 3); }));
   }
-  EXPECT_EQ(resting->failed, 0);
-  resting->close();
+  EXPECT_EQ(idle->failed, 0);
+  idle->close();
   ASSERT_TRUE(ended());
   EXPECT_EQ(status, 0);
   for (const auto& p : host.peers) EXPECT_FALSE(p->heard("crossing"));
