--- a/src/front/configured_limits.cpp
+++ b/src/front/configured_limits.cpp
@@ -21,7 +21,7 @@
 // Records of requests that may have run are kept no longer than this, whatever the class settings.
 constexpr Time kMaxRecordLifetime = 60 * kSecond;
 
-// At most one second.
+// The shortest latency objective of all classes, but at most one second.
 Time shortestLatencyObjective(const load_balancer::Settings& settings) {
   Time latency_objective = kSecond;
   for (const load_balancer::RequestClass& c : settings.classes)
--- a/src/front/include/front/proxy.h
+++ b/src/front/include/front/proxy.h
@@ -73,8 +73,7 @@
 
   // Ready to serve: it listens and has received a host list.
   bool canServe() const { return lifecycle_.serves() && pool_.hostCounts().listed > 0; }
-  // Takes a host out of use: it gets no new requests until enableHost(). Returns false if no host has this
-  // id.
+  // Takes a host out of use: no new requests until enableHost(). Returns false if no host has this id.
   bool disableHost(const std::string& host) { return pool_.disableHost(host); }
   bool enableHost(const std::string& host) { return pool_.enableHost(host); }
   // The fleet's directive for a zone, and this proxy's observation of it: as in Balancer, with zones by name.
@@ -207,8 +206,7 @@
   admission::RejectionCounters rejection_counters_;
   metrics::RequestCounters counts_;
   std::unordered_map<ExchangeId, QueuedRequest> waiting_;
-  std::unordered_map<ExchangeId, Time>
-      time_after_upload_;  // of uploads in progress: how long the client waits
+  std::unordered_map<ExchangeId, Time> time_after_upload_;  // of uploads in progress; see AdmittedRequest
   std::unordered_map<ExchangeId, std::int32_t> streaming_;  // classes of the responses being streamed
   Time permit_timer_due_ = kNever;                          // the earliest timer set for admitWaiting()
   bool admission_posted_ = false;                           // admitWaiting() is posted to the event loop
--- a/src/front/proxy.cpp
+++ b/src/front/proxy.cpp
@@ -142,8 +142,8 @@
   if (!info) return server_.answer(id, plainAnswer(404));
   if (const auto fault = faultOf(request.head, info->idempotency))
     return sendFinalAnswer(id, info->index, plainAnswer(fault->status));
-  // At most the deadline of the class, even if the client announces more: duplicate records are kept for no
-  // longer than the longest deadline.
+  // At most the deadline of the class, even if the client announces more: nothing that is kept for a request
+  // may outlive that deadline.
   const Time left =
       std::min(request.head.has_time_left ? parseSeconds(request.head.time_left).value_or(0) : info->deadline,
                info->deadline);
--- a/src/front/proxy_life.cpp
+++ b/src/front/proxy_life.cpp
@@ -1,5 +1,4 @@
-// The front's life cycle: start, drain, hot restart and shutdown. src/lifecycle decides when each step is
-// due.
+// The front's life cycle: start, drain, hot restart and shutdown. src/lifecycle decides when.
 #include <stdexcept>
 #include <string>
 #include <utility>
