--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -83,7 +83,7 @@
   bool explain = false;    // fill in Action::reason; costs a walk along the subset for each Send
 };
 
-enum class HostState : std::uint8_t { Healthy, Draining, Gone };
+enum class HostState : std::uint8_t { Healthy, Draining, Removed };
 
 // One entry of the server list.
 struct Host {
--- a/src/decision/balancer_impl.h
+++ b/src/decision/balancer_impl.h
@@ -44,7 +44,7 @@
       policy::Endpoint* endpoint = components.endpoints.find(snapshot.id);
       if (endpoint == nullptr && snapshot.in_maintenance) {
         endpoint = &components.endpoints.findOrAdd(snapshot.id);
-        endpoint->host = {.id = snapshot.id, .state = HostState::Gone};
+        endpoint->host = {.id = snapshot.id, .state = HostState::Removed};
       }
       if (endpoint != nullptr)
         policy::restoreFrom(snapshot, components.context, components.slow_start, components.outliers,
--- a/src/decision/discovery_updates.h
+++ b/src/decision/discovery_updates.h
@@ -92,7 +92,7 @@
     return changed;
   }
   bool applyEntry(const Host& host, std::vector<Endpoint*>& added) {
-    if (host.state == HostState::Gone) {
+    if (host.state == HostState::Removed) {
       Endpoint* const gone = endpoints_.find(host.id);
       const bool was_listed = gone != nullptr && gone->listed;
       if (was_listed) endpoints_.remove(*gone);
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -52,7 +52,7 @@
   void remove(Endpoint& endpoint) {
     if (!endpoint.in_maintenance) slots_.give(endpoint);
     endpoint.listed = false;
-    endpoint.host.state = HostState::Gone;
+    endpoint.host.state = HostState::Removed;
   }
   // Erases what nobody lists, nothing waits for and staff have said nothing of.
   void eraseRemoved() {
--- a/src/net/host_list.cpp
+++ b/src/net/host_list.cpp
@@ -18,7 +18,7 @@
   const std::string word = node.text();
   if (word == "active") return HostState::Healthy;
   if (word == "leaving") return HostState::Draining;
-  if (word == "left") return HostState::Gone;
+  if (word == "left") return HostState::Removed;
   node.bad("is unknown: " + word);
 }
 
@@ -28,7 +28,7 @@
   if (host.id.empty()) entry.at("uid").bad("is empty");
   host.state = parseState(entry.at("state"));
   // What has left needs no more than its name.
-  if (host.state == HostState::Gone) return {std::move(host), Endpoint()};
+  if (host.state == HostState::Removed) return {std::move(host), Endpoint()};
   Endpoint endpoint;
   try {
     endpoint = parseEndpoint(entry.at("endpoint").text());
--- a/src/pools/pool_hosts.cpp
+++ b/src/pools/pool_hosts.cpp
@@ -53,7 +53,7 @@
   for (std::size_t i = 0; i < list.hosts.size(); ++i) named[list.hosts[i].id] = i;
   std::map<Endpoint, load_balancer::Host> holders;
   const auto claim = [&](const Endpoint& at, const load_balancer::Host& host) {
-    if (host.state == load_balancer::HostState::Gone) return;
+    if (host.state == load_balancer::HostState::Removed) return;
     const auto [it, first] = holders.emplace(at, host);
     if (!first && host.started_at >= it->second.started_at) it->second = host;
   };
@@ -66,8 +66,8 @@
   const auto lost = [&](const Endpoint& at, const std::string& uid) { return holders.at(at).id != uid; };
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     load_balancer::Host& host = list.hosts[i];
-    if (host.state != load_balancer::HostState::Gone && lost(list.endpoints[i], host.id)) {
-      host.state = load_balancer::HostState::Gone;
+    if (host.state != load_balancer::HostState::Removed && lost(list.endpoints[i], host.id)) {
+      host.state = load_balancer::HostState::Removed;
     }
   }
   std::vector<load_balancer::Host> replaced;
@@ -75,7 +75,7 @@
     if (!list.full && !named.count(uid) && lost(known.endpoint, uid)) replaced.push_back(known.host);
   }
   for (load_balancer::Host& host : replaced) {
-    host.state = load_balancer::HostState::Gone;
+    host.state = load_balancer::HostState::Removed;
     list.hosts.push_back(std::move(host));
     list.endpoints.emplace_back();
   }
@@ -88,7 +88,7 @@
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     const load_balancer::Host& host = list.hosts[i];
     left.erase(host.id);
-    if (host.state == load_balancer::HostState::Gone) {
+    if (host.state == load_balancer::HostState::Removed) {
       upstream_.removeHost(host.id);
       listed_.erase(host.id);
     } else {
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -318,7 +318,7 @@
     } else if (state == "cordoned") {
       h.state = HostState::Draining;
     } else if (state == "deregistered") {
-      h.state = HostState::Gone;
+      h.state = HostState::Removed;
     } else {
       throw BadField("state", "is unknown: " + std::string(state));
     }
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -36,7 +36,7 @@
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(60));
   const auto before = d.balancer.subset(d.now);
-  Host gone = makeHost(std::stoi(before[3].substr(7)), HostState::Gone);
+  Host gone = makeHost(std::stoi(before[3].substr(7)), HostState::Removed);
   d.servers(ListKind::Changes, {gone});
   const auto after = d.balancer.subset(d.now);
   ASSERT_EQ(after.size(), before.size());
@@ -51,7 +51,7 @@
   d.servers(ListKind::Restored, makeHosts(60));
   auto expected = d.balancer.subset(d.now);
   const std::string left = expected[5];
-  d.servers(ListKind::Changes, {makeHost(std::stoi(left.substr(7)), HostState::Gone)});
+  d.servers(ListKind::Changes, {makeHost(std::stoi(left.substr(7)), HostState::Removed)});
   d.servers(ListKind::Changes, {makeHost(900)});
   expected[5] = makeHost(900).id;
   EXPECT_EQ(d.balancer.subset(d.now), expected);
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -43,7 +43,7 @@
   restarted.started_at = d->now;
   d->servers(ListKind::Changes, {restarted});
   EXPECT_EQ(used(40).count("server-001"), 0U);
-  d->servers(ListKind::Changes, {makeHost(1, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(1, HostState::Removed)});
   d->servers(ListKind::Changes, {makeHost(1)});
   EXPECT_EQ(used(40).count("server-001"), 0U);
 }
@@ -117,7 +117,7 @@
     h.id = chosen;
     return h;
   };
-  d->servers(ListKind::Changes, {host(HostState::Gone)});
+  d->servers(ListKind::Changes, {host(HostState::Removed)});
   d->servers(ListKind::Changes, {makeHost(90)});  // would take the free slot
   d->servers(ListKind::Changes, {host(HostState::Healthy)});
   ASSERT_TRUE(d->balancer.setMaintenance(d->now, chosen, false));
@@ -127,7 +127,7 @@
 TEST_F(Maintenance, OneThatIsPutBackWhileItIsGoneIsForgotten) {
   start(4);
   EXPECT_TRUE(maintain(3, true));
-  d->servers(ListKind::Changes, {makeHost(3, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(3, HostState::Removed)});
   EXPECT_EQ(d->balancer.knownServers(), 4U);
   EXPECT_TRUE(maintain(3, false));
   EXPECT_EQ(d->balancer.knownServers(), 3U);
@@ -159,7 +159,7 @@
   d->request(1, 0);
   d->outcome(1, 0, Result::ConnectFailed);  // ejected
   EXPECT_EQ(d->balancer.hostCounts().avoided, 3U);
-  d->servers(ListKind::Changes, {makeHost(0, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(0, HostState::Removed)});
   EXPECT_EQ(d->balancer.hostCounts().listed, 4U);
   EXPECT_EQ(d->balancer.hostCounts().avoided, 2U);
 }
@@ -226,7 +226,7 @@
   Settings settings = makeSettings();
   settings.may_health_check = true;
   start(30, settings);
-  d->servers(ListKind::Changes, {makeHost(4, HostState::Gone), makeHost(9, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(4, HostState::Removed), makeHost(9, HostState::Removed)});
   d->servers(ListKind::Changes, {makeHost(77), makeHost(9)});  // slots are no longer in the order of ids
   const std::string banned = d->balancer.subset(d->now)[1];
   d->balancer.setMaintenance(d->now, banned, true);
--- a/tests/rule_checker.h
+++ b/tests/rule_checker.h
@@ -40,8 +40,8 @@
     if (kind == ListKind::Unavailable) return;
     if (kind != ListKind::Changes) {
       for (auto& [id, known] : known_) {
-        if (known.state != HostState::Gone) known.left = now;
-        known.state = HostState::Gone;
+        if (known.state != HostState::Removed) known.left = now;
+        known.state = HostState::Removed;
       }
     }
     for (const Host& h : hosts) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -273,7 +273,7 @@
           if (kind == 1 && roll(4) == 0) continue;
           const auto mood = roll(10);
           Host h = makeHost(n, mood == 0 ? HostState::Draining : HostState::Healthy);
-          if (mood == 1 && kind == 0) h.state = HostState::Gone;
+          if (mood == 1 && kind == 0) h.state = HostState::Removed;
           if (mood < 4) h.started_at = d.now - roll(20 * kSec);
           hosts.push_back(h);
         }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -171,7 +171,7 @@
   client.startWith(makeHosts(kHosts));
   const Host host = Client::startedAt(3, client.driver.now);
   client.driver.servers(ListKind::Changes, {host});
-  client.driver.servers(ListKind::Changes, {makeHost(3, HostState::Gone)});
+  client.driver.servers(ListKind::Changes, {makeHost(3, HostState::Removed)});
   client.driver.servers(ListKind::Changes, {host});
   EXPECT_TRUE(client.inSlowStart(host.id));
 }
