--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -271,7 +271,7 @@
   // The response has begun to reach the client: it can't be retried any more.
   void onResponseStarted(Time now, RequestId request, std::int32_t attempt, Actions& out);
   // The client has disconnected; no answer is owed.
-  void onClientGone(Time now, RequestId request, Actions& out);
+  void onClientDisconnected(Time now, RequestId request, Actions& out);
   // A health check has ended. `ok`: the host responded; `load`: its load report, if any.
   void onHealthCheck(Time now, std::string_view server, bool ok, Time latency, const LoadReport& load,
                      Actions& out);
--- a/src/decision/balancer.cpp
+++ b/src/decision/balancer.cpp
@@ -26,8 +26,8 @@
 void Balancer::onResponseStarted(Time now, RequestId request, std::int32_t attempt, Actions&) {
   impl_->at(now).lifecycle.onResponseStarted(request, attempt);
 }
-void Balancer::onClientGone(Time now, RequestId request, Actions& out) {
-  impl_->at(now).lifecycle.onClientGone(request, out);
+void Balancer::onClientDisconnected(Time now, RequestId request, Actions& out) {
+  impl_->at(now).lifecycle.onClientDisconnected(request, out);
 }
 void Balancer::onHealthCheck(Time now, std::string_view server, bool ok, Time latency, const LoadReport& load,
                              Actions& out) {
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -90,7 +90,7 @@
     attempt->endpoint->last_response = policy_.context.now;
   }
 
-  void onClientGone(RequestId id, Actions& out) {
+  void onClientDisconnected(RequestId id, Actions& out) {
     PendingRequest* const request = policy_.requests.find(id);
     if (request == nullptr || request->answered) return;
     request->answered = true;
--- a/src/pools/pool.cpp
+++ b/src/pools/pool.cpp
@@ -244,7 +244,7 @@
   ++missing_answers_;
   log("defect: no final answer at the deadline of request " + std::to_string(id), LogLevel::Error);
   finish(id, plainAnswer(504));
-  dispatch([this, id](Time now) { balancer_.onClientGone(now, id, actions_); });
+  dispatch([this, id](Time now) { balancer_.onClientDisconnected(now, id, actions_); });
 }
 
 void Pool::finishBy(Time last) {
@@ -260,7 +260,7 @@
 bool Pool::clientGone(ExchangeId id) {
   const auto it = open_.find(id);
   if (it == open_.end() || std::exchange(it->second.answered, true)) return false;
-  dispatch([this, id](Time now) { balancer_.onClientGone(now, id, actions_); });
+  dispatch([this, id](Time now) { balancer_.onClientDisconnected(now, id, actions_); });
   forgetIfDone(id);
   return true;
 }
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -271,7 +271,7 @@
     } else if (word == "LEFT") {
       const RequestId id = f.request("corr");
       f.end();
-      b.onClientGone(now_, id, actions_);
+      b.onClientDisconnected(now_, id, actions_);
     } else if (word == "SAMPLED") {
       const std::string_view host = f.word("host");
       const Result result = parseResult(f.number<int>("disposition"), "disposition");
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -729,7 +729,7 @@
   second.final = true;
   d.balancer.onOutcome(later, second, out);  // a second final
   d.balancer.onResponseStarted(later, 2, 0, out);
-  d.balancer.onClientGone(later, 2, out);
+  d.balancer.onClientDisconnected(later, 2, out);
   EXPECT_TRUE(out.empty());
 }
 
@@ -740,7 +740,7 @@
   d.balancer.onOutcome(d.now, outcomeOf(0), out);
   d.balancer.onTimer(d.now, 0xFFFF'FFFF'FFFFULL, out);
   d.balancer.onTimer(d.now, 5, out);
-  d.balancer.onClientGone(d.now, 99, out);
+  d.balancer.onClientDisconnected(d.now, 99, out);
   d.balancer.onHealthCheck(d.now, "nobody", true, 1, {}, out);
   d.balancer.onResponseStarted(d.now, 99, 0, out);
   d.balancer.onOutcome(d.now - kSec, outcomeOf(-1), out);
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -129,7 +129,7 @@
          [&](Balancer& b, Actions& out) { b.onRequest(now_, {.id = id, .time_left = patience}, out); });
     after(patience, [=, this] {
       if (!tryOf(client, id).open) return;
-      tell(client, [&](Balancer& b, Actions& out) { b.onClientGone(now_, id, out); });
+      tell(client, [&](Balancer& b, Actions& out) { b.onClientDisconnected(now_, id, out); });
       giveUp(client, id);
     });
   }
--- a/tests/support.h
+++ b/tests/support.h
@@ -95,7 +95,7 @@
   }
   const Actions& gone(RequestId id) {
     checker.gone(id);
-    return act([&](Actions& out) { balancer.onClientGone(now, id, out); });
+    return act([&](Actions& out) { balancer.onClientDisconnected(now, id, out); });
   }
   const Actions& probe(const std::string& server, bool ok, double holds = -1) {
     LoadReport load;
