--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -550,7 +550,7 @@
     cold.now += 20 * kMs;
   }
   EXPECT_EQ(why, Reason::SlowStart);
-  EXPECT_EQ(toString(why), "cold share");
+  EXPECT_EQ(toString(why), "slow start");
 }
 
 TEST(Traces, SayWhatChangedOncePerKindAndSecond) {
@@ -689,7 +689,7 @@
     try {
       validate(s);
     } catch (const std::invalid_argument& e) {
-      return std::string(e.what()) == "impossible setting: " + field;
+      return std::string(e.what()) == "invalid setting: " + field;
     }
     return false;
   };
