--- a/src/random/include/random/fnv.h
+++ b/src/random/include/random/fnv.h
@@ -1,5 +1,5 @@
-// FNV-1a (Fowler, Noll, Vo): hashes that are the same on every machine. Against decay and for tables; not
-// against anybody who chooses what is hashed.
+// FNV-1a (Fowler, Noll, Vo): hashes that are the same on every machine, for hash tables and to detect data
+// corruption. Not for input chosen by an adversary.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   return h;
 }
 
-// To two bytes.
+// XOR-folds a hash to 16 bits.
 constexpr std::uint16_t folded(std::uint32_t hash) { return static_cast<std::uint16_t>(hash ^ (hash >> 16)); }
 
 }  // namespace load_balancer
--- a/src/random/include/random/seeded_hash.h
+++ b/src/random/include/random/seeded_hash.h
@@ -1,5 +1,5 @@
-// A hash of a text under a seed, the same on every machine: for rendezvous hashing, not against anybody who
-// chooses the text.
+// A seeded hash of a text that is the same on every machine, for rendezvous hashing. Not for input chosen by
+// an adversary.
 #pragma once
 
 #include <cstdint>
