--- a/src/containers/include/containers/generational_slot_map.h
+++ b/src/containers/include/containers/generational_slot_map.h
@@ -1,5 +1,5 @@
-// A table whose entries are found by a key, or by a handle that is invalid once its entry was erased, though
-// the slot is used again. Slots are never given back to the heap. No I/O, no clock.
+// A map whose entries are found by key, or by a handle that becomes invalid when its entry is erased, even if
+// the slot is reused. Memory of erased slots is reused, but not returned to the heap. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +13,37 @@
  public:
   using Handle = std::uint64_t;  // never 0
 
-  // Valid until the next insert(). Null: there is none.
+  // Valid until the next insert(). Null if there is no such entry.
   T* find(const Key& key) {
     const auto it = index_.find(key);
     return it == index_.end() ? nullptr : &slots_[it->second].value;
   }
+  // Likewise; null also if the entry of this handle was erased.
   T* findByHandle(Handle handle) {
-    const Handle at = (handle >> 32) - 1;
-    if (at >= slots_.size()) return nullptr;
-    Slot& p = slots_[at];
-    return p.used && p.generation == static_cast<std::uint32_t>(handle) ? &p.value : nullptr;
+    const Handle position = (handle >> 32) - 1;
+    if (position >= slots_.size()) return nullptr;
+    Slot& slot = slots_[position];
+    return slot.used && slot.generation == static_cast<std::uint32_t>(handle) ? &slot.value : nullptr;
   }
 
   struct Inserted {
     T& value;
     Handle handle;
   };
-  // `key` must not be in the table.
+  // `key` must not be in the map.
   Inserted insert(const Key& key) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(slots_.size()));
       slots_.emplace_back();
     }
-    const std::uint32_t at = free_.back();
+    const std::uint32_t position = free_.back();
     free_.pop_back();
-    index_.emplace(key, at);
-    Slot& p = slots_[at];
-    p.value = {};
-    p.used = true;
-    ++p.generation;
-    return {p.value, (Handle{at} + 1) << 32 | p.generation};
+    index_.emplace(key, position);
+    Slot& slot = slots_[position];
+    slot.value = {};
+    slot.used = true;
+    ++slot.generation;
+    return {slot.value, (Handle{position} + 1) << 32 | slot.generation};
   }
   void erase(const Key& key) {
     const auto it = index_.find(key);
@@ -51,11 +52,11 @@
     free_.push_back(it->second);
     index_.erase(it);
   }
-  // All entries, in the order of their slots, which follows from the calls alone.
+  // Visits all entries in slot order, which depends on the sequence of calls only, not on hashes.
   template <typename Visit>
   void forEach(Visit visit) {
-    for (Slot& p : slots_) {
-      if (p.used) visit(p.value);
+    for (Slot& slot : slots_) {
+      if (slot.used) visit(slot.value);
     }
   }
   std::size_t size() const { return index_.size(); }
@@ -68,7 +69,7 @@
   };
   std::vector<Slot> slots_;
   std::vector<std::uint32_t> free_;
-  std::unordered_map<Key, std::uint32_t> index_;  // look-ups only: its order never shows
+  std::unordered_map<Key, std::uint32_t> index_;  // never iterated, so hash order has no effect
 };
 
 }  // namespace client_proxy::containers
--- a/src/containers/include/containers/slot_table.h
+++ b/src/containers/include/containers/slot_table.h
@@ -1,5 +1,5 @@
-// Numbered slots that keep their holders while others come and go: the lowest free one is taken first. No
-// I/O, no clock.
+// Numbered slots that are assigned lowest first; an entry keeps its slot while others are added and removed.
+// No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -8,54 +8,54 @@
 
 namespace client_proxy::containers {
 
-// `T` has a member `slot`, which is kNone where it has no slot. The table owns nothing.
+// `T` has a member `slot`, which is kNone while it has no slot. The table does not own its entries.
 template <typename T>
 class SlotTable {
  public:
   static constexpr std::int32_t kNone = -1;
-  static constexpr std::int32_t kMost = 1 << 20;
+  static constexpr std::int32_t kMaxSlots = 1 << 20;
 
-  // Takes the lowest free slot; who has one keeps it.
-  void take(T& t) {
+  // Assigns the lowest free slot; no effect if `t` already has one.
+  void assign(T& t) {
     if (t.slot != kNone) return;
-    while (free_ < slots_.size() && slots_[free_] != nullptr) ++free_;
-    if (free_ == slots_.size()) slots_.push_back(nullptr);
-    slots_[free_] = &t;
-    t.slot = static_cast<std::int32_t>(free_);
+    while (first_free_ < slots_.size() && slots_[first_free_] != nullptr) ++first_free_;
+    if (first_free_ == slots_.size()) slots_.push_back(nullptr);
+    slots_[first_free_] = &t;
+    t.slot = static_cast<std::int32_t>(first_free_);
   }
-  // False: there is no such slot, or it is another's.
-  bool take(T& t, std::int32_t slot) {
-    if (slot < 0 || slot >= kMost || t.slot != kNone) return false;
-    const auto at = static_cast<std::size_t>(slot);
-    if (slots_.size() <= at) slots_.resize(at + 1);
-    if (slots_[at] != nullptr) return false;
-    slots_[at] = &t;
+  // Assigns this slot. Returns false if it is out of range or in use, or if `t` already has one.
+  bool assign(T& t, std::int32_t slot) {
+    if (slot < 0 || slot >= kMaxSlots || t.slot != kNone) return false;
+    const auto index = static_cast<std::size_t>(slot);
+    if (slots_.size() <= index) slots_.resize(index + 1);
+    if (slots_[index] != nullptr) return false;
+    slots_[index] = &t;
     t.slot = slot;
     return true;
   }
-  void give(T& t) {
+  void release(T& t) {
     if (t.slot == kNone) return;
-    const auto at = static_cast<std::size_t>(t.slot);
-    slots_[at] = nullptr;
-    if (at < free_) free_ = at;
+    const auto index = static_cast<std::size_t>(t.slot);
+    slots_[index] = nullptr;
+    if (index < first_free_) first_free_ = index;
     t.slot = kNone;
   }
-  // The holders are not told.
+  // Removes all slots. The `slot` members of the entries are left unchanged.
   void clear() {
     slots_.clear();
-    free_ = 0;
+    first_free_ = 0;
   }
-  // Removes the free slots behind the last one that is taken.
+  // Removes the free slots after the last one in use.
   void trim() {
     while (!slots_.empty() && slots_.back() == nullptr) slots_.pop_back();
-    if (free_ > slots_.size()) free_ = slots_.size();
+    if (first_free_ > slots_.size()) first_free_ = slots_.size();
   }
   std::size_t size() const { return slots_.size(); }
   T* operator[](std::size_t slot) const { return slots_[slot]; }  // null: free
 
  private:
   std::vector<T*> slots_;
-  std::size_t free_ = 0;  // none below it is free
+  std::size_t first_free_ = 0;  // all slots below it are in use
 };
 
 }  // namespace client_proxy::containers
--- a/src/decision/balancer.cpp
+++ b/src/decision/balancer.cpp
@@ -1,4 +1,4 @@
-// The interface of the library: every call goes to Balancer::Impl, which decides.
+// Forwards each call of the public interface to the component in Balancer::Impl that handles it.
 #include "balancer_impl.h"
 
 namespace load_balancer {
--- a/src/decision/balancer_impl.h
+++ b/src/decision/balancer_impl.h
@@ -1,4 +1,4 @@
-// What the library holds behind its interface: the policy's components, the clock that they share, snapshots.
+// The implementation behind Balancer: the policy's components, their common clock, and snapshots.
 #pragma once
 
 #include "endpoint_snapshot.h"
@@ -14,11 +14,11 @@
     components.onSettings();
   }
 
-  // Every event comes through here: the time goes on.
+  // Advances the current time; to be called first for each event.
   Impl& at(Time time) {
     const bool first = !std::exchange(started, true);
     components.context.now =
-        first ? time : std::max(components.context.now, time);  // a clock may start anywhere
+        first ? time : std::max(components.context.now, time);  // the clock may have any origin
     if (first) components.onFirstEvent();
     return *this;
   }
@@ -26,7 +26,7 @@
   void reconfigure(Settings next) {
     validateChange(components.context.settings, next);
     for (std::size_t i = 0; i < components.context.settings.classes.size(); ++i) {
-      if (!(next.classes[i] == components.context.settings.classes[i])) components.shedder.forgetClass(i);
+      if (!(next.classes[i] == components.context.settings.classes[i])) components.shedder.resetClass(i);
     }
     components.context.settings = std::move(next);
     components.onSettings();
@@ -77,7 +77,7 @@
   policy::Components components;
   policy::RequestLifecycle lifecycle{components};
   policy::EventHandling events{components, lifecycle};
-  bool started = false;
+  bool started = false;  // an event has occurred
 };
 
 }  // namespace load_balancer
--- a/src/decision/components.h
+++ b/src/decision/components.h
@@ -1,6 +1,6 @@
-// The components of the policy, put together. Each has its own state. The
-// ordinary path is Rocksteadier subsetting and least in flight, ties by weighted turns; each exception says
-// beside it when it acts.
+// The components of the policy, wired together. Each has its own state. By default requests are distributed
+// by Rocksteadier subsetting and least requests in flight, ties by weighted fair queueing; each component
+// that deviates from this documents when it does.
 #pragma once
 
 #include "discovery_updates.h"
@@ -29,7 +29,7 @@
   DiscoveryUpdates discovery{context, log, endpoints, slow_start};
 
   Components() = default;
-  Components(const Components&) = delete;  // they refer to one another
+  Components(const Components&) = delete;  // the components hold references to one another
   Components& operator=(const Components&) = delete;
 
   void onFirstEvent() {
@@ -37,7 +37,7 @@
     slow_start.start(context.now);
     polling.start(context.now);
   }
-  // After any change of the settings.
+  // To be called after any change of the settings.
   void onSettings() {
     shedder.onSettings();
     retries.onSettings();
--- a/src/decision/endpoint_snapshot.h
+++ b/src/decision/endpoint_snapshot.h
@@ -1,4 +1,4 @@
-// What one Balancer leaves to the next of an endpoint.
+// Conversion of an endpoint's state to and from the snapshot that one Balancer passes to its replacement.
 #pragma once
 
 #include "outlier_detection.h"
@@ -19,29 +19,30 @@
           .latency_ratio = endpoint.latency_ratio};
 }
 
-// Impossible values are passed over.
+// Values out of range are ignored.
 inline void restoreFrom(const HostSnapshot& snapshot, const PolicyContext& context,
                         const SlowStart& slow_start, OutlierDetector& outliers, Endpoint& endpoint) {
   endpoint.in_maintenance = snapshot.in_maintenance;
   if (std::isfinite(snapshot.latency_ratio) && snapshot.latency_ratio > 0)
-    endpoint.latency_ratio = std::min(snapshot.latency_ratio, Endpoint::kLongestLatencyRatio);
+    endpoint.latency_ratio = std::min(snapshot.latency_ratio, Endpoint::kMaxLatencyRatio);
   if (std::isfinite(snapshot.failure_score) && snapshot.failure_score >= 0)
     endpoint.failure_score = snapshot.failure_score;
   endpoint.failure_score_at = std::min(std::max<Time>(snapshot.failure_score_at, 0), context.now);
-  // The other has followed the list: it knows of a start what a list alone can't tell.
+  // The other Balancer has followed the changes of the list, which show starts more reliably than a full
+  // list.
   const Time age = context.now - snapshot.slow_start_since;
   if (snapshot.slow_start_since == 0 || age >= context.settings.slow_start_duration) {
     endpoint.slow_start_since = 0;
   } else if (snapshot.slow_start_since > 0 && age >= 0) {
-    slow_start.begin(endpoint, snapshot.slow_start_since, StartEvidence::Told);
+    slow_start.begin(endpoint, snapshot.slow_start_since, StartEvidence::Reported);
   }
   if (endpoint.slow_start_since != 0) endpoint.slow_start_tokens = 0;  // the other may have spent them
   if (!snapshot.ejected) return;
   endpoint.ejected = true;
   endpoint.unresponsive = snapshot.unresponsive;
   endpoint.ejected_since = std::min(snapshot.ejected_since, context.now);
-  endpoint.ejected_until = std::min(snapshot.ejected_until, context.now + OutlierDetector::kLongestEjection);
-  outliers.scheduleReturn(endpoint.ejected_until);
+  endpoint.ejected_until = std::min(snapshot.ejected_until, context.now + OutlierDetector::kMaxEjection);
+  outliers.scheduleCheck(endpoint.ejected_until);
 }
 
 }  // namespace load_balancer::policy
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -1,4 +1,4 @@
-// The known endpoints by id, and the numbered slots that they hold. A container: it decides nothing.
+// The known endpoints by id, and the numbered slots assigned to them. A container without any policy.
 #pragma once
 
 #include <map>
@@ -12,14 +12,15 @@
 
 class EndpointTable {
  public:
-  using ById = std::map<std::string, Endpoint, std::less<>>;  // sorted: no decision depends on a hash
+  using ById = std::map<std::string, Endpoint, std::less<>>;  // sorted, so that no decision depends on a hash
   using Slots = client_proxy::containers::SlotTable<Endpoint>;
 
+  // Null if there is no such endpoint.
   Endpoint* find(std::string_view id) {
     const auto it = by_id_.find(id);
     return it == by_id_.end() ? nullptr : &it->second;
   }
-  // One that returns to the list is known by its last start.
+  // An endpoint that was removed and returns has its last start restored, if that is still stored.
   Endpoint& findOrAdd(const std::string& id) {
     const auto [it, added] = by_id_.try_emplace(id);
     if (!added) return it->second;
@@ -33,52 +34,52 @@
   const ById& all() const { return by_id_; }
 
   const Slots& slots() const { return slots_; }
-  void takeSlot(Endpoint& endpoint) { slots_.take(endpoint); }
-  void freeSlot(Endpoint& endpoint) { slots_.give(endpoint); }
+  void assignSlot(Endpoint& endpoint) { slots_.assign(endpoint); }
+  void releaseSlot(Endpoint& endpoint) { slots_.release(endpoint); }
   void trimSlots() { slots_.trim(); }
-  // Slots as another Balancer had them; whoever is listed and has none takes a free one.
+  // Restores the slots of another Balancer's snapshot; listed endpoints without a slot get a free one.
   void restoreSlots(std::span<const HostSnapshot> snapshots) {
     slots_.clear();
     for (auto& [id, endpoint] : by_id_) endpoint.slot = kUnset;
     for (const HostSnapshot& snapshot : snapshots) {
-      if (Endpoint* const endpoint = find(snapshot.id)) slots_.take(*endpoint, snapshot.slot);
+      if (Endpoint* const endpoint = find(snapshot.id)) slots_.assign(*endpoint, snapshot.slot);
     }
     for (auto& [id, endpoint] : by_id_) {
-      if (endpoint.listed) slots_.take(endpoint);
+      if (endpoint.listed) slots_.assign(endpoint);
     }
   }
 
-  // It is not listed any more. One in maintenance keeps its slot: it returns, and then shifts nobody.
+  // The endpoint is no longer listed. In maintenance it keeps its slot, so that its return moves no others.
   void remove(Endpoint& endpoint) {
-    if (!endpoint.in_maintenance) slots_.give(endpoint);
+    if (!endpoint.in_maintenance) slots_.release(endpoint);
     endpoint.listed = false;
     endpoint.host.state = HostState::Removed;
   }
-  // Erases what nobody lists, nothing waits for and staff have said nothing of.
+  // Erases endpoints that are not listed, not in maintenance and have no attempt or health check pending.
   void eraseRemoved() {
     std::erase_if(by_id_, [this](const auto& entry) {
       const Endpoint& e = entry.second;
-      const bool over = !e.listed && !e.in_maintenance && e.in_flight == 0 && !e.health_check_pending;
-      if (over && e.host.started_at != 0) remember(e);
-      return over;
+      const bool unused = !e.listed && !e.in_maintenance && e.in_flight == 0 && !e.health_check_pending;
+      if (unused && e.host.started_at != 0) storeStart(e);
+      return unused;
     });
   }
 
  private:
-  static constexpr std::size_t kMostRemoved = 1024;  // starts that are remembered
+  static constexpr std::size_t kMaxRemoved = 1024;  // erased endpoints whose starts are stored
 
-  void remember(const Endpoint& endpoint) {
-    if (removed_.size() >= kMostRemoved) removed_.clear();
+  void storeStart(const Endpoint& endpoint) {
+    if (removed_.size() >= kMaxRemoved) removed_.clear();
     Endpoint& removed = removed_[endpoint.host.id];
     removed = {};
     removed.host.started_at = endpoint.host.started_at;
     removed.slow_start_since = endpoint.slow_start_since;
     removed.slow_start_tokens = endpoint.slow_start_tokens;
-    removed.slow_start_refilled = endpoint.slow_start_refilled;
+    removed.slow_start_refilled_at = endpoint.slow_start_refilled_at;
   }
 
   ById by_id_;
-  ById removed_;  // with their starts alone
+  ById removed_;  // erased endpoints, with their starts only
   Slots slots_;
 };
 
--- a/src/decision/event_handling.h
+++ b/src/decision/event_handling.h
@@ -1,4 +1,4 @@
-// Events that concern several components: lists, health checks, timers, and hosts in maintenance.
+// Handles events that concern several components: lists, health checks, timers, and maintenance of hosts.
 #pragma once
 
 #include "request_lifecycle.h"
@@ -14,10 +14,10 @@
     if (policy_.discovery.apply(kind, hosts, out)) onListChanged();
     policy_.discovery.scheduleFirstCall(kind, out);
   }
-  // After any change of who is listed or in maintenance.
+  // To be called after any change of which endpoints are listed or in maintenance.
   void onListChanged() {
     policy_.subset.rebuildOrder();
-    policy_.polling.forgetUnlisted();
+    policy_.polling.removeUnlisted();
     policy_.endpoints.eraseRemoved();
   }
 
@@ -30,7 +30,7 @@
       endpoint->reported_load = load.in_flight;
       endpoint->reported_at = now;
     }
-    if (endpoint->ejected) return onReturnChecked(*endpoint, healthy, now - latency, out);
+    if (endpoint->ejected) return onReadmissionCheck(*endpoint, healthy, now - latency, out);
     policy_.zones.onHealthCheck(*endpoint, healthy, now - latency, out);
     for (const RequestId waiting : policy_.polling.onHealthCheck(*endpoint, healthy))
       lifecycle_.resume(waiting, out);
@@ -41,33 +41,34 @@
     lifecycle_.onTimer(timer, out);
   }
 
-  // False: there is no such endpoint. One that is put back has been restarted meanwhile.
+  // Returns false if there is no such endpoint. At the end of maintenance an endpoint is assumed to have been
+  // restarted.
   bool setMaintenance(std::string_view id, bool in_maintenance) {
     Endpoint* const endpoint = policy_.endpoints.find(id);
     if (endpoint == nullptr || !(endpoint->listed || endpoint->in_maintenance)) return false;
     if (endpoint->in_maintenance == in_maintenance) return true;
     endpoint->in_maintenance = in_maintenance;
     if (!in_maintenance) {
-      endpoint->forgetFailures();
-      policy_.slow_start.begin(*endpoint, policy_.context.now, StartEvidence::Told);
-      if (!endpoint->listed) policy_.endpoints.freeSlot(*endpoint);
+      endpoint->resetFailures();
+      policy_.slow_start.begin(*endpoint, policy_.context.now, StartEvidence::Reported);
+      if (!endpoint->listed) policy_.endpoints.releaseSlot(*endpoint);
     }
     onListChanged();
     return true;
   }
 
  private:
-  // The health check of an ejected endpoint has ended.
-  void onReturnChecked(Endpoint& endpoint, bool healthy, Time asked, Actions& out) {
+  // The health check of an ejected endpoint, sent at `sent`, has ended.
+  void onReadmissionCheck(Endpoint& endpoint, bool healthy, Time sent, Actions& out) {
     if (!endpoint.listed) {
-      if (endpoint.ejected_with_zone) policy_.outliers.checkAtNextEvent();  // another one of its zone
+      if (endpoint.ejected_with_zone) policy_.outliers.checkAtNextEvent();  // check another one of its zone
     } else if (healthy) {
-      endpoint.unproven = true;
+      endpoint.unconfirmed = true;
       policy_.zones.onResponse(endpoint, policy_.context.now, out);
       policy_.outliers.readmit(endpoint, policy_.context.now, out);
     } else {
       policy_.outliers.recordFailure(endpoint, OutlierDetector::kClearFailure, true, out);
-      policy_.zones.onFailedReturn(endpoint, asked);
+      policy_.zones.onFailedReadmission(endpoint, sent);
     }
   }
 
--- a/src/decision/load_shedding.h
+++ b/src/decision/load_shedding.h
@@ -1,4 +1,4 @@
-// Load shedding: how much of what arrives is rejected at once in overload, and of whom.
+// Load shedding: which fraction of arrivals is rejected immediately in overload, and which requests.
 #pragma once
 
 #include <cmath>
@@ -13,53 +13,55 @@
 
 class LoadShedder {
  public:
-  static constexpr double kRejectedLateness = 0.35;  // of a rejection: overload where over half reject
+  // Lateness that a rejection by an endpoint counts as: overload if more than half of them reject.
+  static constexpr double kRejectedLateness = 0.35;
 
   LoadShedder(PolicyContext& context, RateLimitedLog& log) : context_(context), log_(log) {}
 
-  // After any change of the settings.
+  // To be called after any change of the settings.
   void onSettings() {
-    usual_latency_.resize(context_.settings.classes.size());
+    mean_latency_.resize(context_.settings.classes.size());
     tenant_arrivals_.resize(context_.settings.tenants.size());
     level_arrivals_.resize(2 * context_.settings.classes.size());
   }
-  // What was learnt of a class says nothing of another in its place.
-  void forgetClass(std::size_t i) {
-    usual_latency_.forget(i);
-    level_arrivals_.forget(2 * i);
-    level_arrivals_.forget(2 * i + 1);
+  // The definition of class `i` has changed, so its measurements are void.
+  void resetClass(std::size_t i) {
+    mean_latency_.reset(i);
+    level_arrivals_.reset(2 * i);
+    level_arrivals_.reset(2 * i + 1);
   }
-  std::size_t classes() const { return usual_latency_.kinds(); }
+  std::size_t classes() const { return mean_latency_.kinds(); }
 
-  // Learns what requests of a class take, and how much longer they do at this endpoint.
+  // Updates the mean latency of the request class, and the endpoint's latency relative to it.
   void recordLatency(Endpoint& endpoint, std::int32_t request_class, const Outcome& outcome) {
     const auto latency = static_cast<double>(std::max<Time>(outcome.latency, 1));
-    const double ratio = usual_latency_.record(static_cast<std::size_t>(request_class), latency);
+    const double ratio = mean_latency_.record(static_cast<std::size_t>(request_class), latency);
     endpoint.latency_ratio += 0.1 * (ratio - endpoint.latency_ratio);
   }
 
-  // From 0, prompt, to 1 at the latency objective.
+  // Lateness of a response: 0 up to kLateFrom of the latency objective, rising to 1 at the objective.
   static double lateness(const RequestClass& c, const Outcome& outcome) {
     const double part = static_cast<double>(outcome.latency) / static_cast<double>(c.latency_objective);
     return std::clamp((part - kLateFrom) / (1 - kLateFrom), 0.0, 1.0);
   }
-  // What the lateness of one attempt says of the load of all endpoints.
+  // Adapts the limit to the lateness of one attempt.
   void adapt(double late, const Endpoint& endpoint, Actions& out) {
-    late /= std::max(1.0, endpoint.latency_ratio);  // a slow endpoint's lateness is its own
+    late /= std::max(1.0, endpoint.latency_ratio);  // discounts the lateness of slow endpoints
     limit_.adapt((kTargetLateness - late) / kTargetLateness, context_.mean_in_flight);
-    const bool shedding = limit_.rejected() > (shedding_ ? kLoggedFrom / 2 : kLoggedFrom);
+    const bool shedding = limit_.rejected() > (shedding_ ? kLogThreshold / 2 : kLogThreshold);
     if (shedding == std::exchange(shedding_, shedding)) return;
     log_.write(RateLimitedLog::Kind::Shedding, shedding ? "shedding begun" : "shedding ended", out);
   }
 
-  // Whether to reject an arrival before it costs anything. What is beyond a tenant's quota goes first; of the
-  // rest half by priority weight for the time it takes, half from all alike, so that no class starves.
+  // Whether to reject an arrival immediately. Requests beyond their tenant's quota are rejected first; of the
+  // others, half are chosen by priority weight per expected time and half equally from all classes, so that
+  // no class starves.
   bool shouldReject(const Request& request) {
     const bool over_quota = overQuota(request.tenant);
     const auto level = 2 * static_cast<std::size_t>(request.request_class) + (over_quota ? 1U : 0U);
     level_arrivals_.record(level);
-    const double part = limit_.onArrival(context_.attempts_in_flight);
-    if (part <= 0) return false;
+    const double rejected = limit_.onArrival(context_.attempts_in_flight);
+    if (rejected <= 0) return false;
     const bool by_weight = context_.random.unit() < 0.5;
     const double weight = weightOf(level, by_weight);
     double lower = 0, same = 0, all = 0;
@@ -72,15 +74,15 @@
         same += level_arrivals_[other];
       }
     }
-    return lower + context_.random.unit() * same < part * all;
+    return lower + context_.random.unit() * same < rejected * all;
   }
 
  private:
   static constexpr double kLateFrom = 0.4;        // of the latency objective
-  static constexpr double kTargetLateness = 0.2;  // a full fleet; more is a queue
-  static constexpr double kLoggedFrom = 0.1;      // of arrivals rejected; less is noise of a busy hour
+  static constexpr double kTargetLateness = 0.2;  // at full utilization; more indicates queueing
+  static constexpr double kLogThreshold = 0.1;    // rejected fraction; less is normal in a busy hour
 
-  // By chance, so often as the tenant's arrivals here are beyond its quota.
+  // Random, with the probability that equals the fraction of the tenant's arrivals beyond its quota.
   bool overQuota(std::int32_t tenant) {
     const auto index = static_cast<std::size_t>(tenant);
     if (tenant < 0 || index >= tenant_arrivals_.kinds()) return false;
@@ -93,18 +95,19 @@
     const double quota_weight = (level & 1U) != 0 ? context_.settings.over_quota_weight : 1;
     if (!by_weight) return quota_weight;
     const RequestClass& c = context_.settings.classes[level / 2];
-    const double usual = usual_latency_.mean(level / 2);
+    const double mean = mean_latency_.mean(level / 2);
     return quota_weight * c.priority_weight /
-           (usual > 0 ? usual : static_cast<double>(c.latency_objective) / 2);
+           (mean > 0 ? mean : static_cast<double>(c.latency_objective) / 2);
   }
 
   PolicyContext& context_;
   RateLimitedLog& log_;
-  client_proxy::statistics::LatencyBaseline usual_latency_;  // by class, in microseconds
+  client_proxy::statistics::LatencyBaseline mean_latency_;  // by class, in microseconds
   client_proxy::statistics::FadingCounters tenant_arrivals_;
-  client_proxy::statistics::FadingCounters level_arrivals_;  // two a class: within and beyond the quota
-  ConcurrencyLimit limit_;                                   // on own requests in flight
-  bool shedding_ = false;                                    // as logged
+  // Two levels per class: 2 * class within the tenant's quota, 2 * class + 1 beyond it.
+  client_proxy::statistics::FadingCounters level_arrivals_;
+  ConcurrencyLimit limit_;  // on this client's requests in flight
+  bool shedding_ = false;   // as last logged
 };
 
 }  // namespace load_balancer::policy
--- a/src/decision/pending_request.h
+++ b/src/decision/pending_request.h
@@ -1,4 +1,4 @@
-// A request that has no final answer yet, or attempts without an outcome.
+// The state of a request that has no final answer yet, or has attempts without an outcome.
 #pragma once
 
 #include <algorithm>
@@ -24,19 +24,19 @@
   RequestId id = 0;
   std::uint64_t timer = 0;
   bool answered = false, streaming = false;
-  bool malformed = false;  // an endpoint found fault with it: a retry is of no use
+  bool malformed = false;  // a host rejected the request as invalid, so a retry is useless
   std::int32_t request_class = 0;
   Time arrived = 0, deadline = 0;
-  Time useful_until = 0;  // then an answer is worth nothing any more
+  Time useful_until = 0;  // later answers have no value
   std::vector<Attempt> attempts;
-  std::int32_t in_flight = 0;  // of these
+  std::int32_t in_flight = 0;  // attempts without an outcome
   std::int64_t key = kUnset;
   std::int32_t required_zone = kUnset;
   bool awaits_reports = false;
-  Time reports_asked_at = 0;
-  std::vector<Endpoint*> report_candidates;  // asked for their load before the next attempt
+  Time reports_requested_at = 0;
+  std::vector<Endpoint*> report_candidates;  // whose load reports the next attempt waits for
 
-  void begin(const Request& arrival, std::uint64_t timer_handle, Time now) {
+  void initialize(const Request& arrival, std::uint64_t timer_handle, Time now) {
     id = arrival.id;
     timer = timer_handle;
     request_class = arrival.request_class;
@@ -49,6 +49,7 @@
     return std::any_of(attempts.begin(), attempts.end(),
                        [&](const Attempt& a) { return a.endpoint == &endpoint; });
   }
+  // All attempts have ended, and none can have run.
   bool neverRan() const {
     return std::all_of(attempts.begin(), attempts.end(),
                        [](const Attempt& a) { return a.execution == Execution::NeverRan; });
--- a/src/decision/policy_context.h
+++ b/src/decision/policy_context.h
@@ -1,5 +1,5 @@
-// What all components of the policy share: the settings, the time of the present event, randomness, the load
-// of this client, and log lines.
+// State shared by all components of the policy: settings, the time of the current event, the random number
+// generator, this client's load, and the log.
 #pragma once
 
 #include <algorithm>
@@ -17,23 +17,24 @@
 struct PolicyContext {
   Settings settings;
   Random random{0};
-  Time now = 0;                         // of the present event; never runs backwards
+  Time now = 0;                         // of the current event; never decreases
   std::int32_t attempts_in_flight = 0;  // of this client, at all endpoints
-  double mean_in_flight = 0;            // the same with the one that arrives, averaged over arrivals
+  double mean_in_flight = 0;  // attempts in flight plus the arriving request, averaged over arrivals
 
   const RequestClass& classOf(std::int32_t request_class) const {
     return settings.classes[static_cast<std::size_t>(request_class)];
   }
-  // At each arrival.
-  void averageLoad() { mean_in_flight += 0.1 * (attempts_in_flight + 1 - mean_in_flight); }
-  // Spreads `duration` over a quarter below and above: clients that fail together do not return together.
+  // To be called at each arrival.
+  void updateMeanInFlight() { mean_in_flight += 0.1 * (attempts_in_flight + 1 - mean_in_flight); }
+  // `duration` with a jitter of up to 25 % either way, so that clients that fail together do not return
+  // together.
   double jittered(double duration) { return duration * (0.75 + 0.5 * random.unit()); }
   void setTimer(Time when, std::uint64_t timer, Actions& out) const {
     out.push_back({.kind = ActionKind::SetTimer, .time = std::max(when, now + 1), .timer = timer});
   }
 };
 
-// A line at a change of state; at most one of each kind a second.
+// Writes log lines about state changes, at most one of each kind per second; the rest are dropped.
 class RateLimitedLog {
  public:
   enum class Kind : std::uint8_t {
@@ -59,7 +60,7 @@
 
  private:
   const PolicyContext& context_;
-  std::array<Time, static_cast<std::size_t>(Kind::Count)> next_{};
+  std::array<Time, static_cast<std::size_t>(Kind::Count)> next_{};  // earliest time of the next line
 };
 
 }  // namespace load_balancer::policy
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -1,4 +1,4 @@
-// One request from its arrival to its one final answer.
+// Handles one request from its arrival to its final answer.
 #pragma once
 
 #include "components.h"
@@ -16,35 +16,35 @@
         static_cast<std::size_t>(arrival.request_class) >= policy_.shedder.classes())
       return out.push_back({.kind = ActionKind::Reject, .request = arrival.id});
     policy_.slow_start.onArrival();
-    policy_.context.averageLoad();
+    policy_.context.updateMeanInFlight();
     policy_.retries.onArrival();
     PendingRequest& request = add(arrival);
     policy_.outliers.checkDue(out);
     policy_.subset.adjustSize(out);
     const bool reject = policy_.retries.overTimeoutBudget(request) || policy_.shedder.shouldReject(arrival);
     reject ? answer(request, out) : dispatch(request, out);
-    closeIfDone(request);
+    eraseIfDone(request);
   }
 
-  // Goes on with a request that waited for load reports.
+  // Continues a request that was held or waited for load reports.
   void resume(RequestId id, Actions& out) {
     PendingRequest& request = *policy_.requests.find(id);
     dispatch(request, out);
-    closeIfDone(request);
+    eraseIfDone(request);
   }
 
-  // The connection is up: may the first byte of the attempt still go?
+  // The connection is established: whether the first byte of the attempt may be written now.
   bool mayStart(RequestId id, std::int32_t index) {
     PendingRequest* const request = policy_.requests.find(id);
     Attempt* const attempt = request == nullptr ? nullptr : request->attemptInFlight(index);
     if (attempt == nullptr || !policy_.guard.allows(*request, *attempt->endpoint, attempt)) return false;
     Endpoint& endpoint = *attempt->endpoint;
     if (std::exchange(attempt->slow_start_since, endpoint.slow_start_since) != endpoint.slow_start_since)
-      policy_.slow_start.spend(endpoint);  // it has restarted since it was chosen
+      policy_.slow_start.spend(endpoint);  // the endpoint has restarted since it was chosen
     return true;
   }
 
-  // The process has to leave: what is open must be answered by `last`.
+  // The process is about to exit: all requests in progress must be answered by `last`.
   void finishBy(Time last, Actions& out) {
     policy_.requests.forEach([&](PendingRequest& request) {
       request.deadline = std::min(request.deadline, last);
@@ -65,14 +65,14 @@
     --request->in_flight;
     policy_.polling.onOutcome(*request, *attempt, outcome);
     policy_.retries.onOutcome(*request, outcome.result);
-    learn(*request, *attempt, outcome, out);
+    recordOutcome(*request, *attempt, outcome, out);
     request->answered |= outcome.final || outcome.result == Result::Ok;
     if (!request->answered && !request->streaming && request->in_flight == 0) {
       const bool useful = policy_.retries.attemptsLeft(*request) && outcome.result != Result::BadRequest;
       const bool retry = useful && (never_ran || policy_.retries.spendRetry());
       retry ? dispatch(*request, out) : answer(*request, out);
     }
-    closeIfDone(*request);
+    eraseIfDone(*request);
   }
 
   void onTimer(std::uint64_t timer, Actions& out) {
@@ -95,18 +95,18 @@
     if (request == nullptr || request->answered) return;
     request->answered = true;
     policy_.polling.stopWaiting(*request);
-    // An attempt would only waste work; a response that has begun is the client's own.
+    // The attempt would be wasted work. One whose response has begun is not cancelled.
     const auto last = static_cast<std::int32_t>(request->attempts.size()) - 1;
     if (policy_.context.settings.may_cancel && !request->streaming && request->in_flight > 0)
       out.push_back({.kind = ActionKind::Cancel, .request = id, .attempt = last});
-    closeIfDone(*request);
+    eraseIfDone(*request);
   }
 
  private:
   PendingRequest& add(const Request& arrival) {
     const auto [request, handle] = policy_.requests.insert(arrival.id);
-    request.begin(arrival, handle, policy_.context.now);
-    // Where a late response is worth nothing, to wait for it only keeps an endpoint busy.
+    request.initialize(arrival, handle, policy_.context.now);
+    // If a late response has no value, waiting for it only keeps an endpoint busy.
     const RequestClass& c = policy_.context.classOf(request.request_class);
     if (c.late_weight <= 0 && (c.objective_per_work <= 0 || arrival.expected_work > 0))
       request.useful_until =
@@ -114,11 +114,11 @@
     return request;
   }
 
-  // Sends it, holds it for a moment, or answers it.
+  // Sends the request, holds it for a short time, or answers it.
   void dispatch(PendingRequest& request, Actions& out) {
     const bool time_left = request.useful_until - policy_.context.now > policy_.context.settings.tick;
     if (!time_left || !policy_.retries.mayAttempt(request, nullptr)) return answer(request, out);
-    if (policy_.polling.ask(request, out)) return;
+    if (policy_.polling.requestReports(request, out)) return;
     if (Endpoint* const endpoint = policy_.polling.takeLeastReported(request))
       return send(request, *endpoint, true, out);
     if (Endpoint* const endpoint = policy_.selector.select(request))
@@ -128,12 +128,14 @@
         std::max(4 * policy_.context.settings.tick, (request.useful_until - request.arrived) / 16);
     policy_.context.setTimer(policy_.context.now + wait, request.timer, out);
   }
-  // An endpoint that is added or recovers may take it a moment later; not where staff have taken out all.
+  // Whether to hold a request that no endpoint can receive: one that is added or recovers may receive it a
+  // little later. Not if all endpoints are in maintenance.
   bool mayHold(const PendingRequest& request) const {
     const std::vector<Endpoint*>& order = policy_.subset.order();
-    const bool hope =
+    const bool may_recover =
         order.empty() || std::any_of(order.begin(), order.end(), [](auto* e) { return !e->in_maintenance; });
-    return hope && policy_.context.now - request.arrived < (request.useful_until - request.arrived) / 4;
+    return may_recover &&
+           policy_.context.now - request.arrived < (request.useful_until - request.arrived) / 4;
   }
 
   void send(PendingRequest& request, Endpoint& endpoint, bool by_load_report, Actions& out) {
@@ -144,12 +146,13 @@
     ++endpoint.in_flight;
     ++policy_.context.attempts_in_flight;
     ++request.in_flight;
-    policy_.subset.noteSend(endpoint);
-    policy_.selector.takeTurn(endpoint);
+    policy_.subset.recordSend(endpoint);
+    policy_.selector.advanceVirtualTime(endpoint);
     policy_.slow_start.spend(endpoint);
     request.attempts.push_back({&endpoint, endpoint.host.zone, endpoint.host.cell, policy_.context.now,
                                 Execution::InFlight, by_load_report, endpoint.slow_start_since});
-    // Where the response is on its way the work is done: to end it saves nothing, and may lose it.
+    // `longest`: once the response is being received the work is done, and ending the attempt would only lose
+    // the response.
     out.push_back({.kind = ActionKind::Send,
                    .request = request.id,
                    .server = endpoint.host.id,
@@ -158,7 +161,7 @@
                    .reason = reason});
   }
 
-  // The final answer where no attempt has one: rejected if repeating is harmless, else failed.
+  // Gives the final answer if no attempt has one: Reject if a repeat is harmless, otherwise Fail.
   void answer(PendingRequest& request, Actions& out) {
     if (request.answered) return;
     request.answered = true;
@@ -172,17 +175,18 @@
     out.push_back({.kind = ActionKind::Reject, .request = request.id, .time = retry_after});
   }
 
-  void closeIfDone(const PendingRequest& request) {
+  void eraseIfDone(const PendingRequest& request) {
     if (request.answered && request.in_flight == 0) policy_.requests.erase(request.id);
   }
 
-  // What an outcome says about the endpoint, its zone, and the load of all.
-  void learn(const PendingRequest& request, const Attempt& attempt, const Outcome& outcome, Actions& out) {
+  // Updates the state of the endpoint, its zone and the load estimate from an outcome.
+  void recordOutcome(const PendingRequest& request, const Attempt& attempt, const Outcome& outcome,
+                     Actions& out) {
     Endpoint& endpoint = *attempt.endpoint;
     const bool unresponsive = endpoint.last_response < attempt.sent;
     if (isResponse(outcome.result)) {
       endpoint.last_response = policy_.context.now;
-      endpoint.unproven = false;
+      endpoint.unconfirmed = false;
       policy_.zones.onResponse(endpoint, attempt.sent, out);
     }
     switch (outcome.result) {
@@ -194,7 +198,7 @@
         return policy_.shedder.adapt(
             LoadShedder::lateness(policy_.context.classOf(request.request_class), outcome), endpoint, out);
       case Result::Rejected:
-        policy_.selector.takeTurn(endpoint);  // it is full: others are next
+        policy_.selector.advanceVirtualTime(endpoint);  // it is full: other endpoints come next
         SlowStart::onRejected(endpoint);
         return policy_.shedder.adapt(LoadShedder::kRejectedLateness, endpoint, out);
       case Result::Error:
@@ -202,7 +206,7 @@
         return;
       case Result::InvalidResponse:
       case Result::RequestIncomplete:
-      case Result::Reset:  // a process that has died refuses the next connection
+      case Result::Reset:  // weak evidence: a process that has exited refuses the next connection
         policy_.outliers.recordFailure(endpoint, OutlierDetector::kBrokenResponse, false, out);
         return;
       case Result::TimedOut:
@@ -210,7 +214,7 @@
       case Result::ConnectFailed:
         policy_.zones.onNoResponse(endpoint, attempt.sent, true, out);
         policy_.outliers.recordFailure(endpoint, OutlierDetector::kClearFailure, true, out,
-                                       OutlierDetector::kMaxUnreachable);
+                                       OutlierDetector::kMaxUnreachableFraction);
         return;
       case Result::BadRequest:  // a malformed request must not eject healthy endpoints
       case Result::Cancelled:
@@ -218,19 +222,21 @@
         return;
     }
   }
-  // Only where nothing came back since it was sent is a timeout held against the endpoint; else it is load.
+  // A timeout counts as a failure of the endpoint only if it has not responded to anything since the attempt
+  // was sent; otherwise it indicates load.
   void onTimeout(const PendingRequest& request, const Attempt& attempt, const Outcome& outcome,
                  bool unresponsive, Actions& out) {
     Endpoint& endpoint = *attempt.endpoint;
-    policy_.selector.takeTurn(endpoint);
+    policy_.selector.advanceVirtualTime(endpoint);
     policy_.shedder.recordLatency(endpoint, request.request_class, outcome);
     if (unresponsive) {
       policy_.zones.onNoResponse(endpoint, attempt.sent, false, out);
-      // One that answers health checks only is found out at once.
-      const double evidence = endpoint.unproven ? OutlierDetector::kClearFailure : OutlierDetector::kTimeout;
+      // An endpoint that responds to health checks only is ejected at its first timeout.
+      const double evidence =
+          endpoint.unconfirmed ? OutlierDetector::kClearFailure : OutlierDetector::kTimeoutFailure;
       if (policy_.outliers.recordFailure(endpoint, evidence, true, out)) return;
     }
-    // Not 1: it may have begun late in its request's time.
+    // The lateness of its actual latency, not 1: the attempt may have been sent late in the request's time.
     policy_.shedder.adapt(LoadShedder::lateness(policy_.context.classOf(request.request_class), outcome),
                           endpoint, out);
   }
--- a/src/decision/send_guard.h
+++ b/src/decision/send_guard.h
@@ -1,5 +1,5 @@
-// The one guard that every attempt passes, first or further: when its endpoint is chosen, when it is sent,
-// and when its first byte can be written.
+// The check that every attempt passes, first or retry: when its endpoint is chosen, when it is sent, and when
+// its first byte can be written.
 #pragma once
 
 #include "retry_policy.h"
@@ -9,12 +9,12 @@
 
 enum class SendVerdict : std::uint8_t {
   Allowed,
-  Answered,      // the request has its final answer, or one is on its way
-  NoTimeLeft,    // its deadline has passed
-  OutOfService,  // the endpoint drains, has left or is in maintenance
-  MayHaveRun,    // an earlier attempt may have run, and this endpoint would not drop the repeat
-  OutsideZone,   // its service's zone alone may have it
-  NoShare,       // the endpoint is in slow start, and this client has no more of it now
+  Answered,        // the request has its final answer, or a response is being forwarded
+  NoTimeLeft,      // its deadline has passed
+  OutOfService,    // the endpoint is draining, removed or in maintenance
+  MayHaveRun,      // an earlier attempt may have run, and this endpoint would not discard the repeat
+  OutsideZone,     // only its service's zone may receive it
+  SlowStartLimit,  // the endpoint is in slow start, and this client's share is used up for now
 };
 
 class SendGuard {
@@ -22,20 +22,20 @@
   SendGuard(const PolicyContext& context, const RetryPolicy& retries, SlowStart& slow_start)
       : context_(context), retries_(retries), slow_start_(slow_start) {}
 
-  // `self`: the attempt, where it has been chosen.
-  SendVerdict check(const PendingRequest& request, Endpoint& endpoint, const Attempt* self = nullptr) {
+  // `attempt`: the attempt to check, if its endpoint has been chosen already; null for a new one.
+  SendVerdict check(const PendingRequest& request, Endpoint& endpoint, const Attempt* attempt = nullptr) {
     if (request.answered || request.streaming) return SendVerdict::Answered;
     if (context_.now >= request.deadline) return SendVerdict::NoTimeLeft;
     if (!endpoint.inService()) return SendVerdict::OutOfService;
-    if (!retries_.mayAttempt(request, &endpoint, self)) return SendVerdict::MayHaveRun;
+    if (!retries_.mayAttempt(request, &endpoint, attempt)) return SendVerdict::MayHaveRun;
     if (request.required_zone != kUnset && request.required_zone != endpoint.host.zone)
       return SendVerdict::OutsideZone;
-    // What it was chosen for has its share already, unless the endpoint has restarted since.
-    const bool has_share = self != nullptr && self->slow_start_since == endpoint.slow_start_since;
-    return has_share || slow_start_.allows(endpoint) ? SendVerdict::Allowed : SendVerdict::NoShare;
+    // An attempt took its token when its endpoint was chosen; it needs another if the endpoint has restarted.
+    const bool has_token = attempt != nullptr && attempt->slow_start_since == endpoint.slow_start_since;
+    return has_token || slow_start_.allows(endpoint) ? SendVerdict::Allowed : SendVerdict::SlowStartLimit;
   }
-  bool allows(const PendingRequest& request, Endpoint& endpoint, const Attempt* self = nullptr) {
-    return check(request, endpoint, self) == SendVerdict::Allowed;
+  bool allows(const PendingRequest& request, Endpoint& endpoint, const Attempt* attempt = nullptr) {
+    return check(request, endpoint, attempt) == SendVerdict::Allowed;
   }
 
  private:
--- a/src/decision/subset.h
+++ b/src/decision/subset.h
@@ -1,5 +1,5 @@
-// The order in which this client reads the listed endpoints, and its subset: the shortest prefix of that
-// order with enough usable endpoints. The next in order take the place of those that are not.
+// The order in which this client prefers the listed endpoints, and its subset: the shortest prefix of that
+// order with enough usable endpoints. Unusable members are thus replaced by the next endpoints in order.
 #pragma once
 
 #include <cmath>
@@ -12,19 +12,21 @@
 
 class Subset {
  public:
-  static constexpr std::uint32_t kSize = 12;  // few connections, and some spread over a few failures
+  // Usable members by default: few connections, yet some failed members leave enough others.
+  static constexpr std::uint32_t kSize = 12;
 
   Subset(const PolicyContext& context, RateLimitedLog& log, EndpointTable& endpoints)
       : context_(context), log_(log), endpoints_(endpoints) {}
 
-  // Listed endpoints in this client's order. The subset spans the first end() of them.
+  // Listed endpoints in this client's order. The subset is the first end() of them.
   const std::vector<Endpoint*>& order() const { return order_; }
   std::span<Endpoint* const> span() const { return {order_.data(), end_}; }
   std::size_t end() const { return end_; }
   std::uint32_t usable() const { return usable_; }
   std::uint32_t targetSize() const { return target_size_; }
 
-  // After any change of who is usable. Who joins has no claim to the turns that it missed.
+  // To be called when endpoints have become usable or unusable. A new member starts at the lowest virtual
+  // time of the present members: it does not make up for turns before it joined.
   void recompute() {
     double start = latest_virtual_time_;
     for (const Endpoint* endpoint : order_) {
@@ -41,7 +43,8 @@
     }
   }
 
-  // Extends the subset of a client whose own load outgrows it. A prefix keeps the endpoints that it had.
+  // Extends the subset when this client's own load exceeds it, and shrinks it later. Since the subset is a
+  // prefix of the order, it keeps its members when it grows.
   void adjustSize(Actions& out) {
     const auto needed = static_cast<std::uint32_t>(std::ceil(kMembersPerRequest * context_.mean_in_flight));
     const auto size = std::max(kSize, std::min(needed, static_cast<std::uint32_t>(order_.size())));
@@ -57,15 +60,15 @@
     }
   }
 
-  void noteSend(const Endpoint& endpoint) {
+  void recordSend(const Endpoint& endpoint) {
     latest_virtual_time_ = std::max(latest_virtual_time_, endpoint.virtual_time);
   }
-  // Turns that an endpoint could not take are lost: saved up they would come in a burst.
+  // Discards the turns that an endpoint could not take: accumulated, they would cause a burst.
   void dropMissedTurns(Endpoint& endpoint) const {
     endpoint.virtual_time = std::max(endpoint.virtual_time, latest_virtual_time_);
   }
 
-  // After any change of slots.
+  // To be called after any change of slots.
   void rebuildOrder() {
     endpoints_.trimSlots();
     order_.clear();
@@ -78,8 +81,8 @@
   }
 
  private:
-  static constexpr double kMembersPerRequest = 4;     // in flight: a client with much load spreads out
-  static constexpr Time kShrinkDelay = 10 * kSecond;  // bursts do not make the subset flap
+  static constexpr double kMembersPerRequest = 4;     // in flight: a client with high load uses more hosts
+  static constexpr Time kShrinkDelay = 10 * kSecond;  // keeps the size stable between bursts
 
   const PolicyContext& context_;
   RateLimitedLog& log_;
@@ -87,7 +90,7 @@
   std::vector<Endpoint*> order_;
   std::size_t end_ = 0;
   std::uint32_t usable_ = 0, target_size_ = kSize;
-  double latest_virtual_time_ = 0;  // of the endpoints that were sent to
+  double latest_virtual_time_ = 0;  // highest among endpoints that were sent a request
   Time resized_at_ = 0;
 };
 
--- a/src/decision/warm_throughput.h
+++ b/src/decision/warm_throughput.h
@@ -1,5 +1,5 @@
-// What one warm endpoint serves of this client's requests: the measure of an endpoint's capacity that needs
-// no word of anybody else.
+// Measures how many of this client's requests one warm endpoint serves: an estimate of an endpoint's capacity
+// that needs no information from other clients.
 #pragma once
 
 #include "statistics/rate_estimator.h"
@@ -7,47 +7,48 @@
 
 namespace load_balancer::policy {
 
-// Counts what was served, not what arrived: a warm endpoint serves no more than it can, so the sum over all
-// clients stays within its capacity however much is asked for. Stands still while no member is warm.
+// Counts served requests, not arrivals: a warm endpoint serves no more than its capacity, so the sum over all
+// clients stays within that capacity whatever the demand. Not updated while no member is warm.
 class WarmThroughput {
  public:
   WarmThroughput(const PolicyContext& context, const Subset& subset) : context_(context), subset_(subset) {}
 
   void start(Time now) {
-    served_.begin(now);
+    served_.start(now);
     updated_ = now;
   }
-  // At each event that reads or changes it, while the subset is as it has been since the last one. Returns
-  // how many members are warm.
+  // To be called at each event that reads or changes the estimate, before the subset changes. Returns the
+  // number of warm members.
   std::uint32_t update() {
     const std::uint32_t warm = warmMembers();
     if (warm > 0) {
       observed_members_ = subset_.usable();
     } else {
-      served_.pause(context_.now - updated_);
+      served_.skip(context_.now - updated_);
     }
     updated_ = context_.now;
     return warm;
   }
   void onServed(const Endpoint& endpoint) {
     const std::uint32_t warm = update();
-    if (warm > 0 && isWarm(endpoint)) served_.note(context_.now, 1.0 / warm);
+    if (warm > 0 && isWarm(endpoint)) served_.record(context_.now, 1.0 / warm);
   }
 
-  // Whether enough was served lately to tell.
-  bool known() const {
-    return served_.perSecond(context_.now) * observed_members_ * kMemory / kSecond >= kLeastResponses;
+  // Whether enough requests were served recently for an estimate.
+  bool measured() const {
+    return served_.perSecond(context_.now) * observed_members_ * kTimeConstant / kSecond >= kMinResponses;
   }
-  // Requests of this client that one warm endpoint serves. A subset that has grown since a member was warm
-  // shares the same among more of them.
+  // Requests of this client per second that one warm endpoint serves. If the subset has grown since a member
+  // was last warm, the same throughput is divided among more members.
   double perSecond() const {
     const double members = std::max(1U, subset_.usable());
     return served_.perSecond(context_.now) * std::min(1.0, observed_members_ / members);
   }
 
  private:
-  static constexpr double kMemory = 15e6;  // microseconds; an overload in which little is served ends sooner
-  static constexpr double kLeastResponses = 4;
+  static constexpr double kTimeConstant =
+      15e6;  // microseconds; overloads in which little is served are shorter
+  static constexpr double kMinResponses = 4;
 
   std::uint32_t warmMembers() const {
     const std::span<Endpoint* const> members = subset_.span();
@@ -60,9 +61,9 @@
 
   const PolicyContext& context_;
   const Subset& subset_;
-  client_proxy::statistics::RateEstimator served_{kMemory};
+  client_proxy::statistics::RateEstimator served_{kTimeConstant};
   Time updated_ = 0;
-  std::uint32_t observed_members_ = 0;  // usable, when one of them was last warm
+  std::uint32_t observed_members_ = 0;  // usable members when one of them was last warm
 };
 
 }  // namespace load_balancer::policy
--- a/src/decision/zone_ejection.h
+++ b/src/decision/zone_ejection.h
@@ -1,4 +1,4 @@
-// Ejection of a whole zone: by this client's own attempts, or since the fleet holds the zone to be down.
+// Ejection of a whole zone: because of this client's own attempts, or because the fleet considers it down.
 #pragma once
 
 #include "outlier_detection.h"
@@ -11,29 +11,33 @@
   ZoneEjection(const PolicyContext& context, RateLimitedLog& log, Subset& subset, OutlierDetector& outliers)
       : context_(context), log_(log), subset_(subset), outliers_(outliers) {}
 
-  // An attempt sent at `sent` got no response. Where other zones respond the fault is the zone's, or the
-  // path's to it, and no bound on ejected endpoints holds. A late response may be load: a health check tells.
+  // An attempt sent at `sent` got no response. If other zones respond, the fault is in the zone or in the
+  // network path to it, and the limit on the ejected fraction does not apply. A missing response may also be
+  // due to load, which a health check distinguishes. `unreachable`: no connection was established, or a
+  // health check failed.
   void onNoResponse(Endpoint& endpoint, Time sent, bool unreachable, Actions& out) {
     const std::int32_t zone = endpoint.host.zone;
     observations_.recordForReport(zone, endpoint.host.id, sent, context_.now, unreachable);
     if (!observations_.recordNoResponse(zone, endpoint.host.id, sent)) return;
     if (context_.settings.may_health_check && !unreachable)
       return OutlierDetector::checkHealth(endpoint, out);
-    eject(zone, outliers_.earliestReturn(), false, out);
+    eject(zone, outliers_.firstEjectionEnd(), false, out);
   }
-  void onResponse(const Endpoint& endpoint, Time asked, Actions& out) {
+  // An attempt or health check sent at `sent` got a response.
+  void onResponse(const Endpoint& endpoint, Time sent, Actions& out) {
     const std::int32_t zone = endpoint.host.zone;
-    observations_.recordResponse(zone, asked, context_.now);
-    if (endpoint.ejected_with_zone && !directives_.contains(zone)) readmit(zone, asked, out);
+    observations_.recordResponse(zone, sent, context_.now);
+    if (endpoint.ejected_with_zone && !directives_.contains(zone)) readmit(zone, sent, out);
   }
-  // A health check of an endpoint that is not ejected has succeeded or failed.
-  void onHealthCheck(Endpoint& endpoint, bool healthy, Time asked, Actions& out) {
-    if (healthy) observations_.recordResponse(endpoint.host.zone, asked, context_.now);
-    if (!healthy && observations_.suspected(endpoint.host.zone)) onNoResponse(endpoint, asked, true, out);
+  // The health check of an endpoint that is not ejected, sent at `sent`, has succeeded or failed.
+  void onHealthCheck(Endpoint& endpoint, bool healthy, Time sent, Actions& out) {
+    if (healthy) observations_.recordResponse(endpoint.host.zone, sent, context_.now);
+    if (!healthy && observations_.suspected(endpoint.host.zone)) onNoResponse(endpoint, sent, true, out);
   }
-  // One of an ejected endpoint has failed: its zone, if that was ejected, stays away as long.
-  void onFailedReturn(const Endpoint& endpoint, Time asked) {
-    observations_.recordForReport(endpoint.host.zone, endpoint.host.id, asked, context_.now, true);
+  // The health check of an ejected endpoint has failed. If it was ejected with its zone, the ejection of the
+  // zone is extended along with its own.
+  void onFailedReadmission(const Endpoint& endpoint, Time sent) {
+    observations_.recordForReport(endpoint.host.zone, endpoint.host.id, sent, context_.now, true);
     if (!endpoint.ejected_with_zone) return;
     observations_.recordNoResponse(endpoint.host.zone, endpoint.host.id, context_.now);
     for (Endpoint* other : subset_.order()) {
@@ -42,7 +46,7 @@
     }
   }
 
-  // What the fleet holds of a zone.
+  // Applies the fleet's decision on a zone.
   void setDirective(std::int32_t zone, ZoneDirective directive, Actions& out) {
     const auto it = directives_.find(zone);
     if (directive == (it == directives_.end() ? ZoneDirective::None : it->second)) return;
@@ -52,7 +56,7 @@
       return readmit(zone, context_.now, out);
     }
     directives_[zone] = directive;
-    const Time checked_from = outliers_.earliestReturn();
+    const Time checked_from = outliers_.firstEjectionEnd();
     const bool checked = directive == ZoneDirective::EjectAndCheck;
     eject(zone, checked ? checked_from : std::numeric_limits<Time>::max(), true, out);
   }
@@ -61,7 +65,8 @@
   }
 
  private:
-  // `all`: also the endpoints that are ejected by themselves.
+  // Ejects a zone, unless no endpoint of another zone is usable. `all`: including endpoints that are already
+  // ejected individually.
   void eject(std::int32_t zone, Time until, bool all, Actions& out) {
     const std::vector<Endpoint*>& order = subset_.order();
     const bool others =
@@ -74,14 +79,13 @@
       endpoint->ejected = endpoint->unresponsive = endpoint->ejected_with_zone = true;
       endpoint->ejected_until = until;
     }
-    outliers_.scheduleReturn(until);
+    outliers_.scheduleCheck(until);
     subset_.recompute();
     log_.write(RateLimitedLog::Kind::Zone, "ejected zone " + std::to_string(zone), out);
   }
-  void readmit(std::int32_t zone, Time asked, Actions& out) {
+  void readmit(std::int32_t zone, Time sent, Actions& out) {
     for (Endpoint* endpoint : subset_.order()) {
-      if (endpoint->ejected_with_zone && endpoint->host.zone == zone)
-        outliers_.readmit(*endpoint, asked, out);
+      if (endpoint->ejected_with_zone && endpoint->host.zone == zone) outliers_.readmit(*endpoint, sent, out);
     }
   }
 
--- a/src/statistics/include/statistics/fading_counters.h
+++ b/src/statistics/include/statistics/fading_counters.h
@@ -1,4 +1,4 @@
-// Counters of recent events by kind. No I/O, no clock.
+// Exponentially decaying counts of events by kind. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -6,23 +6,24 @@
 
 namespace client_proxy::statistics {
 
-// Each event fades all counts a little, so that about the last hundred count.
+// Each event multiplies all counts by a decay factor, so that about the last hundred events count.
 class FadingCounters {
  public:
   void resize(std::size_t kinds) { counts_.resize(kinds); }
-  void forget(std::size_t kind) { counts_[kind] = 0; }
+  // Sets the count of one kind to zero; the total is unchanged.
+  void reset(std::size_t kind) { counts_[kind] = 0; }
   std::size_t kinds() const { return counts_.size(); }
   void record(std::size_t kind) {
-    for (double& count : counts_) count *= kFading;
-    total_ = total_ * kFading + 1;
+    for (double& count : counts_) count *= kDecay;
+    total_ = total_ * kDecay + 1;
     counts_[kind] += 1;
   }
   double operator[](std::size_t kind) const { return counts_[kind]; }
-  // Of all events, also of kinds that were forgotten since.
+  // The decayed count of all events, including those of kinds that were reset since.
   double total() const { return total_; }
 
  private:
-  static constexpr double kFading = 0.99;
+  static constexpr double kDecay = 0.99;
   std::vector<double> counts_;
   double total_ = 0;
 };
--- a/src/statistics/include/statistics/token_bucket.h
+++ b/src/statistics/include/statistics/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket that is filled by events instead of by time. No I/O, no clock.
+// A token bucket that is refilled by events instead of by time. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -7,20 +7,20 @@
 
 class TokenBucket {
  public:
-  // Begins half full. `tokens_per_event`: what one event adds.
+  // Starts half full. `tokens_per_event`: tokens added by each event.
   TokenBucket(double capacity, double tokens_per_event)
       : capacity_(capacity), tokens_per_event_(tokens_per_event), tokens_(capacity / 2) {}
 
   void onEvent() { tokens_ = std::min(capacity_, tokens_ + tokens_per_event_); }
   bool empty() const { return tokens_ < 1; }
-  // Takes one token; false where there is none.
+  // Takes one token; returns false, and takes nothing, if less than one is left.
   bool take() {
     if (empty()) return false;
     tokens_ -= 1;
     return true;
   }
-  // Takes what is left of one token.
-  void drain() { tokens_ = std::max(0.0, tokens_ - 1); }
+  // Takes one token, or what is left if that is less.
+  void takeUpToOne() { tokens_ = std::max(0.0, tokens_ - 1); }
 
  private:
   double capacity_, tokens_per_event_, tokens_;
