--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -1,4 +1,5 @@
-// The check at run time: it must see what a guard with a mistake would let pass.
+// Tests of the run-time check of the rules: it must detect violations that a defective SendGuard would
+// permit.
 #include "invariant_checker.h"
 
 #include <gtest/gtest.h>
@@ -16,12 +17,12 @@
     log.start(context.now);
     endpoint.listed = true;
     endpoint.host = test::makeHost(1);
-    request.request_class = kUnsafe;
+    request.request_class = kNonIdempotentClass;
   }
-  void attempted(Execution execution) {
+  void addAttempt(Execution execution) {
     request.attempts.push_back({.endpoint = &endpoint, .execution = execution});
   }
-  static constexpr std::int32_t kUnsafe = 4;
+  static constexpr std::int32_t kNonIdempotentClass = 4;  // of test::makeSettings()
 
   PolicyContext context;
   RateLimitedLog log{context};
@@ -31,15 +32,15 @@
   Actions out;
 };
 
-TEST_F(InvariantCheckerTest, AFirstAttemptAndARepeatOfWhatNeverRanBreakNothing) {
+TEST_F(InvariantCheckerTest, FirstAttemptAndRetryOfRequestThatNeverRanAreNoViolations) {
   EXPECT_TRUE(checker.onSend(request, endpoint, out));
-  attempted(Execution::NeverRan);
+  addAttempt(Execution::NeverRan);
   EXPECT_TRUE(checker.onSend(request, endpoint, out));
   EXPECT_TRUE(checker.onReject(request, out));
   EXPECT_TRUE(out.empty());
 }
 
-TEST_F(InvariantCheckerTest, AnAttemptAfterTheAnswerIsCountedAndLogged) {
+TEST_F(InvariantCheckerTest, AttemptForAnsweredRequestIsCountedAndLogged) {
   request.answered = true;
   EXPECT_FALSE(checker.onSend(request, endpoint, out));
   EXPECT_EQ(checker.counts().lost, 1U);
@@ -47,14 +48,14 @@
   EXPECT_NE(out[0].text.find("rule=lost"), std::string::npos);
 }
 
-TEST_F(InvariantCheckerTest, ARepeatOfWhatMayHaveRunIsCounted) {
-  attempted(Execution::MayHaveRun);
+TEST_F(InvariantCheckerTest, RetryAndRejectionOfNonIdempotentRequestThatMayHaveRunAreCounted) {
+  addAttempt(Execution::MayHaveRun);
   EXPECT_FALSE(checker.onSend(request, endpoint, out));
   EXPECT_FALSE(checker.onReject(request, out));
   EXPECT_EQ(checker.counts().duplicate, 2U);
 }
 
-TEST_F(InvariantCheckerTest, AnAttemptAtWhatDrainsOrIsOutIsCounted) {
+TEST_F(InvariantCheckerTest, AttemptAtHostDrainingOrInMaintenanceIsCounted) {
   endpoint.host.state = HostState::Draining;
   EXPECT_FALSE(checker.onSend(request, endpoint, out));
   endpoint.host.state = HostState::Healthy;
@@ -63,7 +64,7 @@
   EXPECT_EQ(checker.counts().drain, 2U);
 }
 
-TEST_F(InvariantCheckerTest, AnAttemptBeyondTheShareOfAHostInSlowStartIsCounted) {
+TEST_F(InvariantCheckerTest, AttemptBeyondTheShareOfAHostInSlowStartIsCounted) {
   endpoint.slow_start_since = context.now;
   endpoint.slow_start_tokens = 0.5;
   EXPECT_FALSE(checker.onSend(request, endpoint, out));
@@ -72,7 +73,7 @@
   EXPECT_TRUE(checker.onSend(request, endpoint, out));
   endpoint.slow_start_tokens = 0;
   context.now += context.settings.slow_start_duration;
-  EXPECT_TRUE(checker.onSend(request, endpoint, out)) << "it is warm";
+  EXPECT_TRUE(checker.onSend(request, endpoint, out)) << "the host is warm";
 }
 
 }  // namespace
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -1,5 +1,6 @@
-// Slow start under faults that meet: what all clients together send to each host that has restarted, held to
-// the budget that the settings and the capacity of a warm host give, over every window of their length.
+// Slow start under combined faults. Guards against all clients together overloading a restarted host: the
+// requests that they send to it in each overload window must stay within the budget that follows from the
+// settings and the capacity of a warm host.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -15,8 +16,8 @@
 
 namespace rig = client_proxy::rig;
 
-constexpr Time kOrdinary = 15 * kSec;  // before the faults
-constexpr double kLoad = 0.7;
+constexpr Time kNormalTime = 15 * kSec;  // before the faults
+constexpr double kLoad = 0.7;            // of the capacity of all warm hosts
 constexpr std::uint64_t kSeed = 1;
 
 struct NamedPlan {
@@ -33,16 +34,16 @@
   std::uint32_t clients, hosts;
   int cores;
   Time work;
-  double hot;  // times the ordinary rate, of every tenth client
+  double hot;  // request rate of every tenth client, as a multiple of the others'
 };
 constexpr FleetPlan kSmall{"30 clients at 8 hosts", 30, 8, 2, 85 * kMs, 4};
-constexpr FleetPlan kCrowded{"300 clients at 60 hosts", 300, 60, 2, 85 * kMs, 4};
-constexpr FleetPlan kWide{"300 clients at 200 hosts", 300, 200, 2, 85 * kMs, 4};
+constexpr FleetPlan kManyClients{"300 clients at 60 hosts", 300, 60, 2, 85 * kMs, 4};
+constexpr FleetPlan kManyHosts{"300 clients at 200 hosts", 300, 200, 2, 85 * kMs, 4};
 constexpr FleetPlan kSlowHosts{"900 clients at 100 slow hosts", 900, 100, 1, 250 * kMs, 1};
 
 struct Fault {
   const char* name;
-  std::function<void(FleetModel&)> inject;  // at the end of ordinary load; returns when hosts are warm again
+  std::function<void(FleetModel&)> inject;  // called after normal load; returns when hosts are warm again
 };
 
 void runUntilWarm(FleetModel& fleet) { fleet.runFor(10 * kSec); }
@@ -108,7 +109,8 @@
                          {"ClientsInWaves", restartClientsInWaves},
                          {"EverythingInABurst", restartEverythingInABurst}};
 
-// The worst window of a host's slow start, as a part of its bound; by the capacity at the window's end.
+// The requests in the worst overload window of a host's slow start, relative to the budget of that window (by
+// the capacity at its end).
 double worstWindow(const FleetModel& fleet, const FleetModel::Machine& host, const rig::SlowStartPlan& plan) {
   if (host.started == 0) return 0;
   const Time start = host.started - kStart;
@@ -125,7 +127,7 @@
 
 class SlowStartFaults : public ::testing::TestWithParam<Fault> {
  protected:
-  // All clients together ask for `kLoad` of what the warm hosts can do.
+  // Sets the request rate such that all clients together use `kLoad` of the capacity of the warm hosts.
   static FleetModel::Shape shapeOf(const FleetPlan& plan) {
     FleetModel::Shape shape;
     shape.clients = plan.clients, shape.hosts = plan.hosts;
@@ -153,22 +155,22 @@
       over += window > 1 ? 1U : 0U;
       sent += host.cold_sends.all();
     }
-    std::cout << "worst window " << worst << " of its bound; over it " << over << " of "
+    std::cout << "worst window " << worst << " of its budget; over budget " << over << " of "
               << fleet.hosts().size() << " hosts; sent " << sent << ", answered " << fleet.answered()
               << " of " << fleet.asked() << '\n';
-    EXPECT_LE(worst, 1) << over << " of " << fleet.hosts().size() << " hosts";
+    EXPECT_LE(worst, 1) << over << " of " << fleet.hosts().size() << " hosts over budget";
     EXPECT_EQ(fleet.violations(), 0U);
-    EXPECT_GT(sent, 0U) << "hosts in slow start are used";
+    EXPECT_GT(sent, 0U) << "hosts in slow start must be used";
   }
 };
 
-TEST_P(SlowStartFaults, NoHostIsSentMoreThanItsBudgetByAllClientsTogether) {
-  for (const FleetPlan& fleet_plan : {kSmall, kCrowded, kWide, kSlowHosts}) {
+TEST_P(SlowStartFaults, AllClientsTogetherStayWithinTheBudgetOfEachHost) {
+  for (const FleetPlan& fleet_plan : {kSmall, kManyClients, kManyHosts, kSlowHosts}) {
     for (const NamedPlan& plan : {kSite, kTight}) {
       SCOPED_TRACE(std::string(fleet_plan.name) + ", " + plan.name);
       std::cout << fleet_plan.name << ", " << plan.name << ": ";
       FleetModel fleet(shapeOf(fleet_plan), settingsOf(plan.slow_start), kSeed);
-      fleet.runFor(kOrdinary);
+      fleet.runFor(kNormalTime);
       GetParam().inject(fleet);
       expectWithinBudget(fleet, plan.slow_start);
     }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start of one client: what counts as a start, and how much goes there.
+// Slow start at one client: what counts as a start of a host, and how many requests the host then receives.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,18 +9,19 @@
 namespace load_balancer::test {
 namespace {
 
-constexpr int kHosts = 40;  // more than a subset
+constexpr int kHosts = 40;  // more than the default subset size
 
-// A client with a list of hosts, whose requests are answered.
+// One client of a list of hosts, and requests that are answered.
 class Client {
  public:
   Client() { driver.now = 50'000 * kSec; }
 
-  // Requests that take 20 ms, one after the other. Returns how many went to which host.
-  std::map<std::string, int> play(int requests, Time every = 10 * kMs, bool answered = true) {
+  // Sends requests at this interval, each answered with a latency of 20 ms (unless `answered` is false).
+  // Returns the number of requests by host.
+  std::map<std::string, int> sendRequests(int requests, Time interval = 10 * kMs, bool answered = true) {
     std::map<std::string, int> sent;
     for (int i = 0; i < requests; ++i) {
-      driver.now += every;
+      driver.now += interval;
       driver.request(++id_, 0);
       if (driver.count(ActionKind::Send) == 0) continue;
       ++sent[driver.sentTo()];
@@ -38,7 +39,7 @@
     for (int n = 0; n < kHosts; ++n) hosts.push_back(startedAt(n, time));
     return hosts;
   }
-  // The first lists of a process: the one that it remembers, then discovery's.
+  // The first lists that a process receives: the one that it has stored, then discovery's.
   void startWith(const std::vector<Host>& hosts) {
     driver.servers(ListKind::Restored, hosts);
     driver.servers(ListKind::Full, hosts);
@@ -61,52 +62,55 @@
 
 int total(const std::map<std::string, int>& sent) {
   int all = 0;
-  for (const auto& [host, times] : sent) all += times;
+  for (const auto& [host, count] : sent) all += count;
   return all;
 }
 
-// Incident 4e2499: the sum over all clients grew with the endpoints that each could reach.
-TEST(SlowStart, NothingGoesToEndpointsInSlowStartBeyondTheSubset) {
+// Guards against incident 4e2499: clients also sent to hosts in slow start outside their subset, so the sum
+// over all clients grew with the number of hosts that each could reach.
+TEST(SlowStart, NoRequestsToHostsInSlowStartOutsideTheSubset) {
   Client client;
   client.startWith(makeHosts(kHosts));
-  client.play(500);
+  client.sendRequests(500);
   client.driver.servers(ListKind::Changes, client.allStartedAt(client.driver.now));
   const std::vector<std::string> subset = client.driver.balancer.subset(client.driver.now);
-  const std::map<std::string, int> sent = client.play(400, 2 * kMs);
+  const std::map<std::string, int> sent = client.sendRequests(400, 2 * kMs);
   EXPECT_FALSE(sent.empty());
-  for (const auto& [host, times] : sent)
-    EXPECT_TRUE(std::find(subset.begin(), subset.end(), host) != subset.end()) << host << " is no member";
+  for (const auto& [host, count] : sent)
+    EXPECT_TRUE(std::find(subset.begin(), subset.end(), host) != subset.end()) << host << " is not a member";
 }
 
-// Incident 4e2499: the share followed what arrived.
-TEST(SlowStart, ABurstOfArrivalsRaisesNoShare) {
-  const auto sentIn = [](Time every) {
+// Guards against incident 4e2499: a client's share was a part of its arrivals, so a burst of arrivals raised
+// it.
+TEST(SlowStart, BurstOfArrivalsDoesNotRaiseTheShareOfHostsInSlowStart) {
+  const auto sentAtInterval = [](Time interval) {
     Client client;
     client.startWith(makeHosts(kHosts));
-    client.play(1000);  // 100 a second
+    client.sendRequests(1000);  // 100 a second
     client.driver.servers(ListKind::Changes, client.allStartedAt(client.driver.now));
-    return total(client.play(static_cast<int>(2 * kSec / every), every));
+    return total(client.sendRequests(static_cast<int>(2 * kSec / interval), interval));
   };
-  const int ordinary = sentIn(10 * kMs);
-  EXPECT_GT(ordinary, 50) << "at 0.25 to 0.4 of 200, and half as much again";
-  EXPECT_LE(sentIn(kMs), ordinary + 12) << "a request a member for chance";
+  const int ordinary = sentAtInterval(10 * kMs);
+  EXPECT_GT(ordinary, 50) << "0.25 to 0.4 of 200, times 1.5";
+  EXPECT_LE(sentAtInterval(kMs), ordinary + 12) << "tolerance of one request per member";
 }
 
-// A client with many requests in flight lengthens its subset: what it may send is shared among more.
-TEST(SlowStart, ASubsetThatGrowsRaisesNoShare) {
+// A client with many requests in flight extends its subset: its total share is then divided among more
+// members.
+TEST(SlowStart, ExtendedSubsetDoesNotRaiseTheTotalShare) {
   Client client;
   client.startWith(makeHosts(kHosts));
-  client.play(1000);
+  client.sendRequests(1000);
   client.driver.servers(ListKind::Changes, client.allStartedAt(client.driver.now));
-  const int sent = total(client.play(2000, kMs, false));
+  const int sent = total(client.sendRequests(2000, kMs, false));
   EXPECT_GT(client.driver.balancer.subset(client.driver.now).size(), 12U);
   EXPECT_LE(sent, 200 * 0.4 * 1.5 + kHosts);
 }
 
-TEST(SlowStart, WhatRejectsIsLeftAloneUntilItsShareHasGrownAgain) {
+TEST(SlowStart, HostThatRejectsGetsNoRequestUntilItsTokensAreRefilled) {
   Client client;
   client.startWith(makeHosts(kHosts));
-  client.play(1000);
+  client.sendRequests(1000);
   const std::vector<Host> all = client.allStartedAt(client.driver.now);
   client.driver.servers(ListKind::Changes, all);
   std::map<std::string, Time> rejected;
@@ -116,29 +120,31 @@
     if (client.driver.count(ActionKind::Send) == 0) continue;
     const std::string host = client.driver.sentTo();
     const auto [last, first] = rejected.try_emplace(host, client.driver.now);
-    EXPECT_TRUE(first || client.driver.now - last->second > 150 * kMs) << host << " has 1 in some 240 ms";
+    EXPECT_TRUE(first || client.driver.now - last->second > 150 * kMs)
+        << host << " has one token per 240 ms or so";
     last->second = client.driver.now;
     client.driver.outcome(id, 0, Result::Rejected, kMs);
   }
   EXPECT_FALSE(rejected.empty());
 }
 
-// Incident 4e2499: an age taken from two machines' clocks.
-TEST(SlowStart, ARestartThatTheListTellsIsOneWhateverTheClocksSay) {
-  for (const Time error : {-3600 * kSec, -20 * kSec, 0 * kSec, 20 * kSec, 3600 * kSec}) {
+// Guards against incident 4e2499: the age of a host was computed from the clocks of two machines, so an error
+// of either hid a restart.
+TEST(SlowStart, ListedRestartBeginsSlowStartDespiteClockErrors) {
+  for (const Time clock_error : {-3600 * kSec, -20 * kSec, 0 * kSec, 20 * kSec, 3600 * kSec}) {
     Client client;
     client.startWith(makeHosts(kHosts));
-    client.play(100);
+    client.sendRequests(100);
     const std::string host = client.member();
     client.driver.servers(ListKind::Changes,
-                          {Client::startedAt(Client::numberOf(host), client.driver.now + error)});
-    EXPECT_TRUE(client.inSlowStart(host)) << "clock error of " << error << " us";
-    client.play(1100);  // 11 s, where slow start lasts 10
-    EXPECT_FALSE(client.inSlowStart(host)) << "clock error of " << error << " us";
+                          {Client::startedAt(Client::numberOf(host), client.driver.now + clock_error)});
+    EXPECT_TRUE(client.inSlowStart(host)) << "clock error of " << clock_error << " us";
+    client.sendRequests(1100);  // 11 s, where slow start lasts 10
+    EXPECT_FALSE(client.inSlowStart(host)) << "clock error of " << clock_error << " us";
   }
 }
 
-TEST(SlowStart, ARestartAtAnEarlierTimeThanTheLastIsOneToo) {
+TEST(SlowStart, ListedStartEarlierThanTheLastBeginsSlowStart) {
   Client client;
   client.startWith(client.allStartedAt(client.driver.now - 100 * kSec));
   const std::string host = client.member();
@@ -147,26 +153,26 @@
   EXPECT_TRUE(client.inSlowStart(host));
 }
 
-TEST(SlowStart, ANewHostIsInSlowStartWhateverTheClocksSay) {
+TEST(SlowStart, NewHostBeginsSlowStartDespiteAnOldListedStart) {
   Client client;
   client.startWith(makeHosts(kHosts));
   client.driver.servers(ListKind::Changes, {Client::startedAt(kHosts, client.driver.now - 3600 * kSec)});
   EXPECT_TRUE(client.inSlowStart(makeHost(kHosts).id));
 }
 
-// A discovery that has lost entries and finds them again has restarted no host.
-TEST(SlowStart, AHostThatReturnsToTheListAsItWasIsWarm) {
+// A host that discovery loses and lists again with the same start has not restarted.
+TEST(SlowStart, HostListedAgainWithTheSameStartStaysWarm) {
   Client client;
   const std::vector<Host> hosts = client.allStartedAt(client.driver.now - 100 * kSec);
   client.startWith(hosts);
-  client.play(1100);
+  client.sendRequests(1100);
   std::vector<Host> half(hosts.begin(), hosts.begin() + kHosts / 2);
   client.driver.servers(ListKind::Full, half);
   client.driver.servers(ListKind::Full, hosts);
   for (const Host& host : hosts) EXPECT_FALSE(client.inSlowStart(host.id)) << host.id;
 }
 
-TEST(SlowStart, AHostThatLeavesTheListInSlowStartReturnsInIt) {
+TEST(SlowStart, HostRemovedDuringSlowStartIsStillInItWhenListedAgain) {
   Client client;
   client.startWith(makeHosts(kHosts));
   const Host host = Client::startedAt(3, client.driver.now);
@@ -176,21 +182,22 @@
   EXPECT_TRUE(client.inSlowStart(host.id));
 }
 
-// A process has no earlier list of its own: starts are compared with the newest, and with its clock.
-TEST(SlowStart, TheFirstListTellsTheAgeByTheNewestStart) {
+// A new process has no earlier list to compare with: starts are compared with the newest one, and with its
+// own clock.
+TEST(SlowStart, FirstListGivesTheAgeOfHostsRelativeToTheNewestStart) {
   Client client;
   std::vector<Host> hosts = client.allStartedAt(client.driver.now - 100 * kSec);
   hosts[0].started_at = client.driver.now - 3600 * kSec;
   client.startWith(hosts);
   EXPECT_FALSE(client.inSlowStart(hosts[0].id));
-  EXPECT_TRUE(client.inSlowStart(hosts[1].id)) << "nothing shows that these are older than a moment";
+  EXPECT_TRUE(client.inSlowStart(hosts[1].id)) << "no evidence that these have been running for longer";
 }
 
-TEST(SlowStart, AClockThatIsBehindTheStartsMakesNoSlowStartLonger) {
+TEST(SlowStart, ListedStartsInTheFutureDoNotProlongSlowStart) {
   Client client;
   client.startWith(client.allStartedAt(client.driver.now + 3600 * kSec));
   EXPECT_TRUE(client.inSlowStart(makeHost(0).id));
-  client.play(1100);
+  client.sendRequests(1100);
   EXPECT_FALSE(client.inSlowStart(client.member()));
 }
 
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -1,4 +1,4 @@
-// The properties that the paper claims for Rocksteadier subsetting, with figures.
+// Checks the properties that the paper on Rocksteadier subsetting states: balance, diversity and few changes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,13 +14,13 @@
 
 using Order = std::vector<std::uint32_t>;
 
-TEST(LotOrder, WorkedExampleOfThePaper) { EXPECT_EQ(lotOrder(1, 6), (Order{1, 5, 3, 0, 4, 2})); }
+TEST(LotOrder, MatchesTheExampleInThePaper) { EXPECT_EQ(lotOrder(1, 6), (Order{1, 5, 3, 0, 4, 2})); }
 
 TEST(LotOrder, ClientLotZeroStartsAtServerLotZero) { EXPECT_EQ(lotOrder(0, 6), (Order{0, 4, 2, 1, 5, 3})); }
 
-TEST(LotOrder, NoLots) { EXPECT_TRUE(lotOrder(3, 0).empty()); }
+TEST(LotOrder, IsEmptyForZeroLots) { EXPECT_TRUE(lotOrder(3, 0).empty()); }
 
-TEST(SubsetOrder, EverySlotExactlyOnce) {
+TEST(SubsetOrder, ContainsEverySlotExactlyOnce) {
   for (const std::uint32_t slots : {0U, 1U, 6U, 9U, 10U, 11U, 55U, 240U}) {
     for (const std::uint32_t client : {0U, 1U, 9U, 10U, 13U, 369U}) {
       const Order order = subsetOrder(client, slots);
@@ -33,14 +33,14 @@
   }
 }
 
-// The clients of one lot read rows, so their first picks differ while there are rows left.
-TEST(SubsetOrder, ClientsOfOneLotStartApart) {
+// The clients of one lot start at different rows, so their first slots differ.
+TEST(SubsetOrder, ClientsOfOneLotHaveDifferentFirstSlots) {
   std::set<std::uint32_t> first;
   for (std::uint32_t client = 10; client < 20; ++client) first.insert(subsetOrder(client, 60)[0]);
   EXPECT_EQ(first.size(), 10U);
 }
 
-TEST(SubsetOrder, ConnectionsStayBalanced) {
+TEST(SubsetOrder, ConnectionsPerServerStayNearTheMean) {
   for (const std::uint32_t clients : {40U, 100U, 400U}) {
     for (const std::uint32_t servers : {40U, 55U, 150U, 240U}) {
       for (const std::uint32_t k : {8U, 16U, 24U}) {
@@ -49,37 +49,38 @@
           const Order order = subsetOrder(m, servers);
           for (std::uint32_t i = 0; i < k; ++i) ++load[order[i]];
         }
-        const double fair = static_cast<double>(clients * k) / servers;
-        const std::uint32_t most = *std::max_element(load.begin(), load.end());
-        EXPECT_LE(most, std::ceil(fair * 1.5) + 2)
+        const double mean = static_cast<double>(clients * k) / servers;
+        const std::uint32_t max = *std::max_element(load.begin(), load.end());
+        EXPECT_LE(max, std::ceil(mean * 1.5) + 2)
             << clients << " clients, " << servers << " servers, k " << k;
       }
     }
   }
 }
 
-// Slots keep their order when more are added inside a lot, and a new lot adds columns without reshuffling.
-TEST(SubsetOrder, OneMoreServerChangesOneMemberInsideALot) {
+// Adding a slot to an incomplete lot keeps the order of the others.
+TEST(SubsetOrder, OneMoreServerInsideALotChangesAtMostOneMember) {
   for (std::uint32_t m = 0; m < 40; ++m) {
     const Order before = subsetOrder(m, 55);
     const Order after = subsetOrder(m, 56);
-    const std::set<std::uint32_t> was(before.begin(), before.begin() + 16);
-    int fresh = 0;
-    for (int i = 0; i < 16; ++i) fresh += was.contains(after[static_cast<std::size_t>(i)]) ? 0 : 1;
-    EXPECT_LE(fresh, 1);
+    const std::set<std::uint32_t> old_members(before.begin(), before.begin() + 16);
+    int added = 0;
+    for (int i = 0; i < 16; ++i) added += old_members.contains(after[static_cast<std::size_t>(i)]) ? 0 : 1;
+    EXPECT_LE(added, 1);
   }
 }
 
-// At the edge of a lot a new column appears and the others move to their new even places.
-TEST(SubsetOrder, OneMoreServerChangesTwoMembersAtMostAtTheEdgeOfALot) {
+// Adding the first slot of a new lot adds a column and shifts the others to their new even spacing, without
+// reshuffling the lots.
+TEST(SubsetOrder, OneMoreServerInANewLotChangesAtMostTwoMembers) {
   for (const std::uint32_t slots : {30U, 40U, 60U, 100U, 150U, 240U}) {
     for (std::uint32_t m = 0; m < 200; ++m) {
       const Order before = subsetOrder(m, slots);
       const Order after = subsetOrder(m, slots + 1);
-      const std::set<std::uint32_t> was(before.begin(), before.begin() + 16);
-      int fresh = 0;
-      for (std::size_t i = 0; i < 16; ++i) fresh += was.contains(after[i]) ? 0 : 1;
-      EXPECT_LE(fresh, 2) << m << " of " << slots;
+      const std::set<std::uint32_t> old_members(before.begin(), before.begin() + 16);
+      int added = 0;
+      for (std::size_t i = 0; i < 16; ++i) added += old_members.contains(after[i]) ? 0 : 1;
+      EXPECT_LE(added, 2) << m << " is the client; slots: " << slots;
     }
   }
 }
