--- a/src/pools/pool.cpp
+++ b/src/pools/pool.cpp
@@ -248,7 +248,7 @@
   ++missing_answers_;
   log("defect: no final answer at the deadline of request " + std::to_string(id), LogLevel::Error);
   finish(id, plainAnswer(504));
-  dispatch([this, id](Time now) { balancer_.onClientGone(now, id, actions_); });
+  dispatch([this, id](Time now) { balancer_.onClientDisconnected(now, id, actions_); });
 }
 
 void Pool::finishBy(Time last) {
@@ -265,7 +265,7 @@
 bool Pool::onClientDisconnected(ExchangeId id) {
   const auto it = open_.find(id);
   if (it == open_.end() || std::exchange(it->second.answered, true)) return false;
-  dispatch([this, id](Time now) { balancer_.onClientGone(now, id, actions_); });
+  dispatch([this, id](Time now) { balancer_.onClientDisconnected(now, id, actions_); });
   removeIfDone(id);
   return true;
 }
--- a/src/pools/pool_hosts.cpp
+++ b/src/pools/pool_hosts.cpp
@@ -54,7 +54,7 @@
   for (std::size_t i = 0; i < list.hosts.size(); ++i) index_by_id[list.hosts[i].id] = i;
   std::map<Endpoint, load_balancer::Host> host_by_endpoint;
   const auto assign_endpoint = [&](const Endpoint& endpoint, const load_balancer::Host& host) {
-    if (host.state == load_balancer::HostState::Gone) return;
+    if (host.state == load_balancer::HostState::Removed) return;
     const auto [it, first] = host_by_endpoint.emplace(endpoint, host);
     if (!first && host.started_at >= it->second.started_at) it->second = host;
   };
@@ -69,8 +69,8 @@
   };
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     load_balancer::Host& host = list.hosts[i];
-    if (host.state != load_balancer::HostState::Gone && is_replaced(list.endpoints[i], host.id)) {
-      host.state = load_balancer::HostState::Gone;
+    if (host.state != load_balancer::HostState::Removed && is_replaced(list.endpoints[i], host.id)) {
+      host.state = load_balancer::HostState::Removed;
     }
   }
   std::vector<load_balancer::Host> replaced;
@@ -79,7 +79,7 @@
       replaced.push_back(known.host);
   }
   for (load_balancer::Host& host : replaced) {
-    host.state = load_balancer::HostState::Gone;
+    host.state = load_balancer::HostState::Removed;
     list.hosts.push_back(std::move(host));
     list.endpoints.emplace_back();
   }
@@ -92,7 +92,7 @@
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     const load_balancer::Host& host = list.hosts[i];
     removed.erase(host.id);
-    if (host.state == load_balancer::HostState::Gone) {
+    if (host.state == load_balancer::HostState::Removed) {
       upstream_.removeHost(host.id);
       listed_.erase(host.id);
     } else {
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -281,7 +281,7 @@
     } else if (type == "LEFT") {
       const RequestId id = f.request("corr");
       f.end();
-      b.onClientGone(now_, id, actions_);
+      b.onClientDisconnected(now_, id, actions_);
     } else if (type == "SAMPLED") {
       const std::string_view host = f.required("host");
       const Result result = parseResult(f.number<int>("disposition"), "disposition");
@@ -331,7 +331,7 @@
     } else if (state == "cordoned") {
       h.state = HostState::Draining;
     } else if (state == "deregistered") {
-      h.state = HostState::Gone;
+      h.state = HostState::Removed;
     } else {
       throw BadField("state", "is unknown: " + std::string(state));
     }
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -37,7 +37,7 @@
   Driver d(makeSettings());
   d.servers(ListKind::Restored, makeHosts(60));
   const auto before = d.balancer.subset(d.now);
-  Host removed = makeHost(std::stoi(before[3].substr(7)), HostState::Gone);
+  Host removed = makeHost(std::stoi(before[3].substr(7)), HostState::Removed);
   d.servers(ListKind::Changes, {removed});
   const auto after = d.balancer.subset(d.now);
   ASSERT_EQ(after.size(), before.size());
@@ -52,7 +52,7 @@
   d.servers(ListKind::Restored, makeHosts(60));
   auto expected = d.balancer.subset(d.now);
   const std::string left = expected[5];
-  d.servers(ListKind::Changes, {makeHost(std::stoi(left.substr(7)), HostState::Gone)});
+  d.servers(ListKind::Changes, {makeHost(std::stoi(left.substr(7)), HostState::Removed)});
   d.servers(ListKind::Changes, {makeHost(900)});
   expected[5] = makeHost(900).id;
   EXPECT_EQ(d.balancer.subset(d.now), expected);
@@ -551,7 +551,7 @@
     starting.now += 20 * kMs;
   }
   EXPECT_EQ(why, Reason::SlowStart);
-  EXPECT_EQ(toString(why), "cold share");
+  EXPECT_EQ(toString(why), "slow start");
 }
 
 TEST(Traces, ReportEachKindOfChangeOncePerSecond) {
@@ -691,7 +691,7 @@
     try {
       validate(s);
     } catch (const std::invalid_argument& e) {
-      return std::string(e.what()) == "impossible setting: " + field;
+      return std::string(e.what()) == "invalid setting: " + field;
     }
     return false;
   };
@@ -731,7 +731,7 @@
   second.final = true;
   d.balancer.onOutcome(later, second, out);  // a second final outcome
   d.balancer.onResponseStarted(later, 2, 0, out);
-  d.balancer.onClientGone(later, 2, out);
+  d.balancer.onClientDisconnected(later, 2, out);
   EXPECT_TRUE(out.empty());
 }
 
@@ -742,7 +742,7 @@
   d.balancer.onOutcome(d.now, outcomeOf(0), out);
   d.balancer.onTimer(d.now, 0xFFFF'FFFF'FFFFULL, out);
   d.balancer.onTimer(d.now, 5, out);
-  d.balancer.onClientGone(d.now, 99, out);
+  d.balancer.onClientDisconnected(d.now, 99, out);
   d.balancer.onHealthCheck(d.now, "server-999", true, 1, {}, out);
   d.balancer.onResponseStarted(d.now, 99, 0, out);
   d.balancer.onOutcome(d.now - kSec, outcomeOf(-1), out);
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -46,7 +46,7 @@
   restarted.started_at = d->now;
   d->servers(ListKind::Changes, {restarted});
   EXPECT_EQ(serversUsed(40).count("server-001"), 0U);
-  d->servers(ListKind::Changes, {makeHost(1, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(1, HostState::Removed)});
   d->servers(ListKind::Changes, {makeHost(1)});
   EXPECT_EQ(serversUsed(40).count("server-001"), 0U);
 }
@@ -120,7 +120,7 @@
     h.id = chosen;
     return h;
   };
-  d->servers(ListKind::Changes, {host(HostState::Gone)});
+  d->servers(ListKind::Changes, {host(HostState::Removed)});
   d->servers(ListKind::Changes, {makeHost(90)});  // would take the slot if it were free
   d->servers(ListKind::Changes, {host(HostState::Healthy)});
   ASSERT_TRUE(d->balancer.setMaintenance(d->now, chosen, false));
@@ -130,7 +130,7 @@
 TEST_F(Maintenance, ServerPutBackWhileNotListedIsRemoved) {
   start(4);
   EXPECT_TRUE(setMaintenance(3, true));
-  d->servers(ListKind::Changes, {makeHost(3, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(3, HostState::Removed)});
   EXPECT_EQ(d->balancer.knownServers(), 4U);
   EXPECT_TRUE(setMaintenance(3, false));
   EXPECT_EQ(d->balancer.knownServers(), 3U);
@@ -162,7 +162,7 @@
   d->request(1, 0);
   d->outcome(1, 0, Result::ConnectFailed);  // ejected
   EXPECT_EQ(d->balancer.hostCounts().avoided, 3U);
-  d->servers(ListKind::Changes, {makeHost(0, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(0, HostState::Removed)});
   EXPECT_EQ(d->balancer.hostCounts().listed, 4U);
   EXPECT_EQ(d->balancer.hostCounts().avoided, 2U);
 }
@@ -230,7 +230,7 @@
   Settings settings = makeSettings();
   settings.may_health_check = true;
   start(30, settings);
-  d->servers(ListKind::Changes, {makeHost(4, HostState::Gone), makeHost(9, HostState::Gone)});
+  d->servers(ListKind::Changes, {makeHost(4, HostState::Removed), makeHost(9, HostState::Removed)});
   d->servers(ListKind::Changes, {makeHost(77), makeHost(9)});  // slots no longer follow the order of ids
   const std::string in_maintenance = d->balancer.subset(d->now)[1];
   d->balancer.setMaintenance(d->now, in_maintenance, true);
--- a/tests/rule_checker.h
+++ b/tests/rule_checker.h
@@ -46,8 +46,8 @@
     if (kind == ListKind::Unavailable) return;
     if (kind != ListKind::Changes) {
       for (auto& [id, host] : hosts_) {
-        if (host.state != HostState::Gone) host.unavailable_since = now;
-        host.state = HostState::Gone;
+        if (host.state != HostState::Removed) host.unavailable_since = now;
+        host.state = HostState::Removed;
       }
     }
     for (const Host& h : hosts) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -275,7 +275,7 @@
           if (kind == 1 && below(4) == 0) continue;
           const auto condition = below(10);
           Host h = makeHost(n, condition == 0 ? HostState::Draining : HostState::Healthy);
-          if (condition == 1 && kind == 0) h.state = HostState::Gone;
+          if (condition == 1 && kind == 0) h.state = HostState::Removed;
           if (condition < 4) h.started_at = d.now - below(20 * kSec);
           hosts.push_back(h);
         }
--- a/tests/support.h
+++ b/tests/support.h
@@ -99,7 +99,7 @@
   }
   const Actions& clientDisconnected(RequestId id) {
     checker.clientDisconnected(id);
-    return act([&](Actions& out) { balancer.onClientGone(now, id, out); });
+    return act([&](Actions& out) { balancer.onClientDisconnected(now, id, out); });
   }
   const Actions& probe(const std::string& server, bool ok, double in_flight = -1) {
     LoadReport load;
