--- a/src/leases/claims.cpp
+++ b/src/leases/claims.cpp
@@ -1,4 +1,4 @@
-// New grants: when this member's site claims a service, and how voters answer claims.
+// New grants: when this member's site claims a service, and how voters reply to claims.
 #include <algorithm>
 #include <utility>
 
@@ -7,26 +7,28 @@
 namespace client_proxy::leases {
 namespace {
 
-constexpr Time kRenewSoon = 50 * fleet::kMillisecond;  // after the promise of a claim of our own
+// From this member's own promise of its claim to the renewal that collects the others' votes.
+constexpr Time kRenewSoon = 50 * fleet::kMillisecond;
 
 }  // namespace
 
-// Why this member's site may claim a service now, if it may.
+// The reason for which this member's site may claim the service now; std::nullopt if it may not.
 std::optional<ClaimReason> Member::reasonToClaim(Time now, const Service& service) {
-  const Grant held = voter_.known(service.id);
+  const Grant current = voter_.known(service.id);
   const bool is_home = site_ == service.home;
   const bool is_stand_by = service.stand_by != kNoSite && site_ == service.stand_by;
   if (!is_home && !is_stand_by) return std::nullopt;
   if (voter_.disputed(service.id)) return is_home ? std::optional(ClaimReason::Reclaim) : std::nullopt;
-  if (held.term == 0) return is_home ? std::optional(ClaimReason::Home) : std::nullopt;
-  if (held.site == site_)
-    return voter_.nextTerm(service.id) > held.term + 1 ? std::optional(ClaimReason::Reclaim) : std::nullopt;
-  if (!voters_.isGone(held.site, liveness_)) {
-    gone_since_.erase(held.site);
+  if (current.term == 0) return is_home ? std::optional(ClaimReason::Home) : std::nullopt;
+  if (current.site == site_)
+    return voter_.nextTerm(service.id) > current.term + 1 ? std::optional(ClaimReason::Reclaim)
+                                                          : std::nullopt;
+  if (!voters_.isUnavailable(current.site, liveness_)) {
+    unavailable_since_.erase(current.site);
     return std::nullopt;
   }
-  const Time since = gone_since_.try_emplace(held.site, now).first->second;
-  // The home site goes first where both could.
+  const Time since = unavailable_since_.try_emplace(current.site, now).first->second;
+  // If both sites could claim the service, the home site does so first.
   const Time wait = is_home ? settings_.takeover_after : 2 * settings_.takeover_after;
   return now - since >= wait ? std::optional(ClaimReason::Takeover) : std::nullopt;
 }
@@ -37,15 +39,15 @@
   repeatOverrides(now, out);
   if (!isSiteLeader() || !voter_.mayPromise(now)) return;
   for (const Service& s : services_) {
-    const Grant held = voter_.known(s.id);
+    const Grant current = voter_.known(s.id);
     if (const auto reason = reasonToClaim(now, s)) {
       Time& last = claimed_at_.try_emplace(s.id, fleet::kLongAgo).first->second;
       if (now - last < settings_.lease / 3) continue;
       last = now;
       claim(now, s.id, {voter_.nextTerm(s.id), site_, *reason}, out);
-    } else if (held.site == site_ && !voter_.disputed(s.id) &&
-               (missing_votes_.contains(s.id) || !voter_.promised(s.id, held))) {
-      claim(now, s.id, held, out);
+    } else if (current.site == site_ && !voter_.disputed(s.id) &&
+               (missing_votes_.contains(s.id) || !voter_.promised(s.id, current))) {
+      claim(now, s.id, current, out);
     }
   }
   missing_votes_.clear();
@@ -58,35 +60,36 @@
   });
 }
 
-// This member votes first, like any other voter; the others hear of the claim once its own promise is on
+// This member votes first, like any other voter, and sends the claim to the others once its own promise is on
 // disk.
 void Member::claim(Time now, ServiceId service, const Grant& grant, Output& out) {
   const Voter::Answer own = voter_.claim(now, {service, grant}, liveness_);
-  if (own.entry.yes && own.store) {
+  if (own.entry.granted && own.store) {
     pending_votes_.add({{service, grant}, self_, 0, own.entry});
     out.writes.push_back({service, grant});
     return;
   }
-  // An override is passed on by whoever was given it, also while a promise to another site binds this member.
-  if (!own.entry.yes && grant.reason != ClaimReason::Override) return;
+  // The member that received the operator's override broadcasts it even while a promise to another site binds
+  // this member.
+  if (!own.entry.granted && grant.reason != ClaimReason::Override) return;
   broadcastClaim(service, grant, out);
 }
 
 void Member::broadcastClaim(ServiceId service, const Grant& grant, Output& out) const {
-  Message request = message(Kind::Claim, 0);
+  Message request = message(MessageKind::Claim, 0);
   request.entries = {{service, grant}};
   sendToOthers(request, out);
 }
 
 void Member::onClaim(Time now, Number from, const Message& request, Output& out) {
-  Message vote = message(Kind::Vote, request.round);
+  Message vote = message(MessageKind::Vote, request.round);
   vote.digest = static_cast<std::uint32_t>(VoteForm::Listed);
   for (const Entry& e : request.entries) {
-    // Whoever holds the service has to stop at once.
+    // If this member holds the service, it has to stop sending at once.
     if (e.grant.reason == ClaimReason::Override) learn(now, e.service, e.grant, out);
     const Voter::Answer answer = voter_.claim(now, e, liveness_);
-    if (!answer.entry.yes) checkClaim(now, from, e, request.config_hash, out);
-    if (!answer.entry.yes || !answer.store) {
+    if (!answer.entry.granted) checkClaim(now, from, e, request.config_hash, out);
+    if (!answer.entry.granted || !answer.store) {
       vote.entries.push_back(answer.entry);
     } else if (pending_votes_.add({{e.service, e.grant}, from, request.round, answer.entry})) {
       out.writes.push_back({e.service, e.grant});
@@ -103,7 +106,7 @@
   for (const PendingVotes::Vote& v : votes) {
     own = own || v.to == self_;
     if (v.to == self_) continue;
-    Message vote = message(Kind::Vote, v.round);
+    Message vote = message(MessageKind::Vote, v.round);
     vote.digest = static_cast<std::uint32_t>(VoteForm::Listed);
     vote.entries = {v.entry};
     send(v.to, vote, out);
@@ -119,12 +122,12 @@
 }
 
 std::string Member::overrideOwner(Time now, ServiceId service, SiteId site, Output& out) {
-  const Grant held = voter_.known(service);
+  const Grant current = voter_.known(service);
   const Grant grant{voter_.nextTerm(service), site, ClaimReason::Override};
   std::string overrides = "overrides " + std::to_string(voters_.size() - liveness_.live.size()) + " of " +
-                          std::to_string(voters_.size()) + " members, who are not heard";
-  if (held.term > 0) overrides += ", and the deed of term " + std::to_string(held.term);
-  // Repeated until the promises to the present owner have run out.
+                          std::to_string(voters_.size()) + " members, which are not live";
+  if (current.term > 0) overrides += ", and the grant of term " + std::to_string(current.term);
+  // Repeated until the promises to the current owner have run out.
   overrides_.push_back({service, grant, now + 3 * settings_.lease});
   learn(now, service, grant, out);
   claim(now, service, grant, out);
--- a/src/leases/include/leases/conflicts.h
+++ b/src/leases/include/leases/conflicts.h
@@ -1,4 +1,5 @@
-// Claims that contradict what is known: classified, and kept for operators. No I/O, no clock.
+// Conflicts: claims that contradict the known grants, classified and kept for the operators' page. No I/O, no
+// clock.
 #pragma once
 
 #include <string>
@@ -10,15 +11,16 @@
 namespace client_proxy::leases {
 
 enum class ConflictKind : std::uint8_t {
-  Stale,                 // from storage of before a power cut, or an older copy of it
-  CopiedStorage,         // two members use copies of one installation's storage
-  ConfigMismatch,        // operator files that differ
-  ConflictingOverrides,  // two operators' orders under one term
-  ExpiredLease,          // the holder stood still, and another has been granted the service
-  Unwitnessed,           // under a term that nobody remembers granting
-  HostsSawNewerTerm,     // hosts have been sent requests under a newer term
+  Stale,                 // the claim comes from storage written before a power cut or from an older copy
+  CopiedStorage,         // two members use copies of the same storage
+  ConfigMismatch,        // the members' operator files differ
+  ConflictingOverrides,  // operators' overrides to different sites under one term
+  ExpiredLease,          // the claimant's lease expired while it was stalled or cut off, and another site
+                         // has been granted the service
+  Unwitnessed,           // no other member knows the claim's term
+  HostsSawNewerTerm,     // hosts have received requests under a newer term
 };
-// As operators see it.
+// The name on the operators' page and in log lines.
 constexpr std::string_view nameOf(ConflictKind kind) {
   constexpr std::string_view kNames[] = {"stale",      "copied",      "written",     "forced",
                                          "past-lease", "unwitnessed", "contradicted"};
@@ -27,32 +29,33 @@
 
 struct Conflict {
   ConflictKind kind = ConflictKind::Stale;
-  ServiceId service = 0;     // 0: all services
-  Number claimant = 0;       // who made the claim
-  Grant claim{}, against{};  // what was claimed, and what is known instead
-  Number other = 0;          // CopiedStorage: the other member that has it
+  ServiceId service = 0;   // 0: all services
+  Number claimant = 0;     // the member that made the claim
+  Grant claim{}, known{};  // the claimed grant, and the known grant that contradicts it
+  Number other = 0;        // CopiedStorage: the other member with the same storage
   Time first = 0, last = 0;
   std::uint32_t times = 0;
   bool settled = false;  // the claim has not been repeated for ConflictLog::kSettled
 };
 
-// How a kind of conflict is resolved, in operators' words.
+// How a kind of conflict is resolved, as texts for the operators' page.
 struct Resolution {
-  std::string_view stands_down;  // who stops serving
-  std::string_view meanwhile;    // what is served until then
-  std::string_view ends;         // what ends the conflict
+  std::string_view yielding_party;    // the member or site that stops serving
+  std::string_view served_meanwhile;  // what is served until the conflict is resolved
+  std::string_view ends_when;         // the event that resolves the conflict
 };
 const Resolution& resolutionOf(ConflictKind kind);
 
 class ConflictLog {
  public:
-  static constexpr std::size_t kMost = 64;  // the oldest are forgotten first
-  static constexpr Time kSettled = 10 * fleet::kSecond;
+  static constexpr std::size_t kMaxConflicts = 64;       // the oldest is dropped first
+  static constexpr Time kSettled = 10 * fleet::kSecond;  // without a repetition of the claim
 
-  // True if it is new, or had been settled: worth a log line.
-  bool note(Time now, Conflict conflict);
+  // Returns whether the conflict is new or had been settled, and so should be logged.
+  bool record(Time now, Conflict conflict);
+  // Marks conflicts that have not been repeated for kSettled.
   void settle(Time now);
-  const std::vector<Conflict>& all() const { return all_; }  // the newest last
+  const std::vector<Conflict>& all() const { return all_; }  // in order of their first occurrence
   std::size_t count(ConflictKind kind) const;
 
  private:
--- a/src/leases/include/leases/lease_holder.h
+++ b/src/leases/include/leases/lease_holder.h
@@ -1,5 +1,5 @@
-// The leases of one site, in its leader: which grants a quorum has confirmed, and until when. No I/O, no
-// clock.
+// The leases of one site, kept by its leader: which grants a quorum has confirmed, and until when they are
+// valid. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -13,10 +13,10 @@
 
 struct Lease {
   Grant grant;
-  Time expires_at = fleet::kLongAgo;  // by the promises of a quorum
-  Time ready_at = fleet::kNever;      // when the drain time of the owner before is over
-  bool confirmed = false;             // by a quorum, since this process started
-  bool ready = false;                 // the drain time is over, and that is on disk
+  Time expires_at = fleet::kLongAgo;  // until when a quorum has promised it
+  Time ready_at = fleet::kNever;      // when the drain time of the previous owner ends
+  bool confirmed = false;             // by a quorum since this process started
+  bool ready = false;                 // the drain time is over, and this has been handed to storage
 };
 
 class LeaseHolder {
@@ -24,28 +24,29 @@
   LeaseHolder(const Settings& settings, const VoterList& voters, Number self)
       : settings_(settings), voters_(voters), self_(self) {}
 
-  // From disk: a drain time that was over then does not start again.
+  // Enters a grant loaded from disk. If `ready`, the drain time does not start again.
   void restore(ServiceId service, const Grant& grant, bool ready);
-  // As the leader before this one told it.
-  void takeOver(ServiceId service, const Grant& grant, Time ready_at);
+  // Enters a grant with the end of its drain time as last announced by the site's previous leader.
+  void adoptFromPreviousLeader(ServiceId service, const Grant& grant, Time ready_at);
 
-  // Starts a round of votes on these grants; its number.
+  // Starts a round of votes on these grants and returns its number.
   std::uint32_t beginRound(Time now, const std::vector<StoredGrant>& grants);
+  // Null if the round is no longer tracked.
   const std::vector<StoredGrant>* grantsOf(std::uint32_t round) const;
 
-  // A member has voted for all grants of the round. `live`: how many members are live.
+  // A member has voted for all grants of the round. `live`: number of live members.
   void onVoteForAll(Time now, std::uint32_t round, Number from, std::size_t live);
-  // A member has voted for or against one of them.
+  // A member has voted for or against one grant of the round.
   void onVote(Time now, std::uint32_t round, Number from, const Entry& entry, std::size_t live);
-  // A majority knows nothing of this grant, and no other member has voted for it in the round.
+  // Whether a majority does not know this grant and no other member has voted for it in the round.
   bool isUnwitnessed(std::uint32_t round, ServiceId service) const;
 
-  // A newer grant is known.
+  // Removes the lease, because a newer grant is known.
   void drop(ServiceId service) { leases_.erase(service); }
   void clear() { leases_.clear(); }
   const Lease* lease(ServiceId service) const;
   const std::map<ServiceId, Lease>& all() const { return leases_; }
-  // Marks the leases whose drain time has ended since the last call, and returns them: to be stored.
+  // Marks the leases whose drain time has ended since the last call, and returns them to be stored.
   std::vector<StoredGrant> becomeReady(Time now);
 
  private:
@@ -60,7 +61,7 @@
   Round* findRound(std::uint32_t round);
   void extendIfQuorum(Time now, const Round& round, const StoredGrant& stored, std::size_t live);
 
-  static constexpr std::size_t kRounds = 6;  // whose votes still count
+  static constexpr std::size_t kRounds = 6;  // votes for older rounds are ignored
   const Settings& settings_;
   const VoterList& voters_;
   const Number self_;
--- a/src/leases/include/leases/member.h
+++ b/src/leases/include/leases/member.h
@@ -1,9 +1,9 @@
-// One member's part in service ownership: messages and the time in; messages, writes that have to be on disk
-// first, and log lines out. No I/O, no clock. Why it is safe: docs/design-ownership.md.
+// The ownership state machine of one member. Inputs: messages and the current time. Outputs: messages, writes
+// to disk and log lines. No I/O, no clock. The safety argument is in docs/design-ownership.md.
 //
-// The class is implemented by subject: member.cpp (timers, dispatch), synchronization.cpp (what others know),
-// renewal.cpp (leases of this site), claims.cpp (new grants), queries.cpp (leases of other sites),
-// conflict_detection.cpp.
+// The class is implemented by subject: member.cpp (timers, dispatch), synchronization.cpp (grants known to
+// other members), renewal.cpp (leases of this site), claims.cpp (new grants), queries.cpp (leases of other
+// sites), conflict_detection.cpp.
 #pragma once
 
 #include <functional>
@@ -30,35 +30,36 @@
 
 struct Output {
   std::vector<OutgoingMessage> messages;
-  std::vector<StoredGrant> writes;     // each to be answered by Member::onStored()
+  std::vector<StoredGrant> writes;     // the caller reports the result of each by Member::onStored()
   std::vector<std::string> log_lines;  // for operators
-  bool discard_storage = false;        // another member uses a copy of it: begin a new one
+  bool discard_storage = false;        // another member uses a copy of it: start with an empty one
 };
 
 class Member {
  public:
-  // `self` is among `listed`, or std::invalid_argument is thrown. `seed`: for the times between tries.
-  Member(const Settings& settings, std::vector<Service> services, std::vector<Listed> listed, Number self,
-         std::uint64_t seed);
+  // Throws std::invalid_argument if `self` is not in `listed`. `seed`: for the jitter of timers.
+  Member(const Settings& settings, std::vector<Service> services, std::vector<ListedMember> listed,
+         Number self, std::uint64_t seed);
 
-  // `installation`: identifies the storage that `stored` comes from; 0: there is none.
+  // `installation`: identifies the storage that `stored` was loaded from; 0: there is no storage.
   void start(Time now, const std::vector<StoredGrant>& stored, std::uint32_t installation);
-  // What this member sees of the others, to be refreshed several times a second.
+  // Updates the liveness of the other members. To be called several times a second.
   void observe(Time now, LivenessView liveness) { liveness_ = std::move(liveness), observed_at_ = now; }
   void receive(Time now, Number from, std::string_view bytes, Output& out);
-  // Wanted at due().
+  // Runs the timers. To be called at due().
   void onTime(Time now, Output& out);
   Time due() const { return due_; }
-  // A write has ended; `ok` is false if it is not on disk and never will be.
+  // A write has completed; `ok` is false if it failed for good.
   void onStored(Time now, const StoredGrant& stored, bool ok, Output& out);
-  // A host has turned a request away because it had seen this term.
+  // A host has rejected a request because it had already seen this newer term.
   void onHostTerm(Time now, ServiceId service, Term term, Output& out);
-  // An operator gives a service to a site, whoever holds it. Returns what that overrides.
+  // Executes an operator's order to make a site the owner, regardless of the current one. Returns a
+  // description of what this overrides, for the operator.
   std::string overrideOwner(Time now, ServiceId service, SiteId site, Output& out);
 
-  // Whether a request of the service may be sent now, and where. To be asked at each sending.
+  // Whether a request of the service may be sent now, and to which site. To be called before each attempt.
   Permit permit(ServiceId service, Time now) const;
-  // A majority has told what it knows, and promises from before the start have run out.
+  // Whether a majority has sent the grants that it knows and promises from before the start have run out.
   bool synchronized(Time now) const { return voter_.mayPromise(now); }
   std::size_t synchronizedMembers() const { return state_sync_.count(); }
 
@@ -69,18 +70,18 @@
   bool disputed(ServiceId service) const { return voter_.disputed(service); }
   const Lease* lease(ServiceId service) const { return lease_holder_.lease(service); }
   const ConflictLog& conflicts() const { return conflicts_; }
-  // This member asks for its site's promises.
+  // Whether this member claims and renews the grants of its site.
   bool isSiteLeader() const;
 
  private:
   // member.cpp
-  Message message(Kind kind, std::uint32_t round) const;
+  Message message(MessageKind kind, std::uint32_t round) const;
   void send(Number to, const Message& message, Output& out) const;
   void sendParts(Number to, const Message& message, Output& out) const;
   void sendToOthers(const Message& message, Output& out) const;
-  void forOthers(const std::function<void(Number)>& visit) const;
+  void forEachOther(const std::function<void(Number)>& visit) const;
   std::string nameOfService(ServiceId service) const;
-  // Nothing is sent under a lease of this service until a newer one is known.
+  // Removes the known leases of the service: no request of it is sent until a newer lease is known.
   void invalidate(ServiceId service);
 
   // synchronization.cpp
@@ -134,23 +135,23 @@
   LivenessView liveness_;
   Time observed_at_ = fleet::kLongAgo;
   std::uint32_t installation_ = 0;
-  bool has_storage_ = false;  // grants from before this process
+  bool has_storage_ = false;  // grants were loaded from disk
 
   std::map<Number, std::uint32_t> installations_;  // of other members
-  std::map<SiteId, Time> gone_since_;
+  std::map<SiteId, Time> unavailable_since_;
   std::map<ServiceId, Time> claimed_at_;
-  struct Override {  // repeated until the leader of its site has it
+  struct Override {  // repeated for a limited time, so that the leader of its site receives it
     ServiceId service;
     Grant grant;
     Time until;
   };
   std::vector<Override> overrides_;
-  std::map<ServiceId, Term> disputes_broadcast_;
-  std::set<ServiceId> missing_votes_;  // some member had not promised them in the last round
+  std::map<ServiceId, Term> disputes_broadcast_;  // the last disputed term that was broadcast
+  std::set<ServiceId> missing_votes_;  // some member lacks the promise: their grants are claimed again
   Time sync_at_ = 0, renew_at_ = 0, claim_at_ = 0, query_at_ = 0, due_ = fleet::kNever;
 };
 
-// "term 5 (home)", for log lines.
+// "term=5 reason=home", for log lines.
 std::string describe(const Grant& grant);
 
 }  // namespace client_proxy::leases
--- a/src/leases/include/leases/pending_votes.h
+++ b/src/leases/include/leases/pending_votes.h
@@ -1,4 +1,4 @@
-// Votes that are not sent before the promise is on disk. No I/O, no clock.
+// Votes held back until the promise that they depend on is on disk. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
     std::uint32_t round = 0;
     Entry entry;
   };
-  // True if it is the first to wait for this grant, which then has to be written.
+  // Returns whether this is the first vote that waits for the grant; the caller then has to write the grant.
   bool add(const Vote& vote);
-  // Removes and returns those that waited for it.
+  // Removes and returns the votes that waited for this grant.
   std::vector<Vote> take(const StoredGrant& stored);
   void clear() { votes_.clear(); }
 
--- a/src/leases/lease_holder.cpp
+++ b/src/leases/lease_holder.cpp
@@ -12,7 +12,7 @@
   lease.ready = ready;
 }
 
-void LeaseHolder::takeOver(ServiceId service, const Grant& grant, Time ready_at) {
+void LeaseHolder::adoptFromPreviousLeader(ServiceId service, const Grant& grant, Time ready_at) {
   Lease& lease = leases_[service];
   if (lease.grant.term > grant.term || (lease.grant == grant && lease.confirmed)) return;
   if (!(lease.grant == grant)) lease = {};
@@ -46,13 +46,13 @@
   return it == leases_.end() ? nullptr : &it->second;
 }
 
-// Votes for the whole round and for one grant count together; each member has cast one or the other.
+// Votes for the whole round and for a single grant are counted together; a member that cast both counts once.
 void LeaseHolder::extendIfQuorum(Time now, const Round& round, const StoredGrant& stored, std::size_t live) {
   VoteSet all = round.for_all;
   if (const auto one = round.for_one.find(stored.service); one != round.for_one.end())
     all.add(voters_, one->second);
-  // An operator's override takes a majority of the live members: the operator vouches that the others are
-  // gone.
+  // An operator's override needs a majority of the live members only, since the operator has verified that
+  // the others are down.
   const bool quorum =
       stored.grant.reason == ClaimReason::Override ? all.count() >= live / 2 + 1 : all.isQuorum(voters_);
   if (!quorum) return;
@@ -71,22 +71,22 @@
   if (r == nullptr) return;
   r->for_all.add(voters_, from);
   if (r->for_all.count() * 2 < std::min(live, voters_.majority())) return;
-  for (const StoredGrant& k : r->grants) extendIfQuorum(now, *r, k, live);
+  for (const StoredGrant& stored : r->grants) extendIfQuorum(now, *r, stored, live);
 }
 
 void LeaseHolder::onVote(Time now, std::uint32_t round, Number from, const Entry& e, std::size_t live) {
   Round* const r = findRound(round);
   if (r == nullptr) return;
-  const auto k = std::find_if(r->grants.begin(), r->grants.end(),
-                              [&](const StoredGrant& o) { return o.service == e.service; });
-  if (k == r->grants.end()) return;
-  if (!e.yes) {
+  const auto stored = std::find_if(r->grants.begin(), r->grants.end(),
+                                   [&](const StoredGrant& o) { return o.service == e.service; });
+  if (stored == r->grants.end()) return;
+  if (!e.granted) {
     if (e.unknown) r->unknown[e.service].add(voters_, from);
     return;
   }
-  if (!(e.grant == k->grant)) return;
+  if (!(e.grant == stored->grant)) return;
   r->for_one[e.service].add(voters_, from);
-  extendIfQuorum(now, *r, *k, live);
+  extendIfQuorum(now, *r, *stored, live);
 }
 
 bool LeaseHolder::isUnwitnessed(std::uint32_t round, ServiceId service) const {
--- a/src/leases/member.cpp
+++ b/src/leases/member.cpp
@@ -12,7 +12,7 @@
   return "term=" + std::to_string(grant.term) + " reason=" + std::string(nameOf(grant.reason));
 }
 
-Member::Member(const Settings& settings, std::vector<Service> services, std::vector<Listed> listed,
+Member::Member(const Settings& settings, std::vector<Service> services, std::vector<ListedMember> listed,
                Number self, std::uint64_t seed)
     : settings_(settings),
       services_(std::move(services)),
@@ -24,7 +24,8 @@
       lease_holder_(settings_, voters_, self_),
       lease_cache_(settings_),
       state_sync_(voters_) {
-  if (!voters_.find(self)) throw std::invalid_argument("the list of members lacks " + std::to_string(self));
+  if (!voters_.find(self))
+    throw std::invalid_argument("the list of members does not contain this member, " + std::to_string(self));
   liveness_.live = {self};
 }
 
@@ -39,7 +40,7 @@
   }
   state_sync_.restart(has_storage_);
   pending_votes_.clear();
-  // Random phases keep members that start together from acting in the same instant.
+  // Random phases keep members that start together from sending at the same time.
   const auto part = [&](Time t) { return now + static_cast<Time>(random_.unit() * static_cast<double>(t)); };
   sync_at_ = now;
   renew_at_ = part(settings_.lease / 3);
@@ -60,7 +61,7 @@
   lease_cache_.invalidate(service);
 }
 
-Message Member::message(Kind kind, std::uint32_t round) const {
+Message Member::message(MessageKind kind, std::uint32_t round) const {
   Message m;
   m.kind = kind;
   m.round = round;
@@ -76,18 +77,18 @@
 }
 
 void Member::sendParts(Number to, const Message& message, Output& out) const {
-  for (const Message& part : inParts(message)) send(to, part, out);
+  for (const Message& part : splitIntoParts(message)) send(to, part, out);
 }
 
-void Member::forOthers(const std::function<void(Number)>& visit) const {
+void Member::forEachOther(const std::function<void(Number)>& visit) const {
   for (const Number n : liveness_.live) {
     if (n != self_ && voters_.find(n)) visit(n);
   }
 }
 
 void Member::sendToOthers(const Message& message, Output& out) const {
-  for (const Message& part : inParts(message)) {
-    forOthers([&](Number n) { send(n, part, out); });
+  for (const Message& part : splitIntoParts(message)) {
+    forEachOther([&](Number n) { send(n, part, out); });
   }
 }
 
@@ -114,25 +115,25 @@
   if (!m || !voters_.find(from) || from == self_) return;
   checkInstallation(now, from, m->installation, out);
   switch (m->kind) {
-    case Kind::SyncRequest:
+    case MessageKind::SyncRequest:
       onSyncRequest(from, *m, out);
       break;
-    case Kind::SyncReply:
+    case MessageKind::SyncReply:
       onSyncReply(now, from, *m, out);
       break;
-    case Kind::Renew:
+    case MessageKind::Renew:
       onRenew(now, from, *m, out);
       break;
-    case Kind::Claim:
+    case MessageKind::Claim:
       onClaim(now, from, *m, out);
       break;
-    case Kind::Vote:
+    case MessageKind::Vote:
       onVote(now, from, *m, out);
       break;
-    case Kind::LeaseQuery:
+    case MessageKind::LeaseQuery:
       onLeaseQuery(now, from, *m, out);
       break;
-    case Kind::LeaseReply:
+    case MessageKind::LeaseReply:
       onLeaseReply(now, *m, out);
       break;
   }
--- a/src/leases/queries.cpp
+++ b/src/leases/queries.cpp
@@ -1,4 +1,4 @@
-// Leases of other sites: a member asks their leaders, and answers for its own site.
+// Leases of other sites: a member queries the leaders of those sites, and a leader replies for its own site.
 #include <algorithm>
 
 #include "leases/member.h"
@@ -10,7 +10,7 @@
 
 constexpr Time kMostMilliseconds = 65'535;
 
-// Rounded against whoever asks: less time left, more time to wait.
+// Rounded to the safe side for the requester: less time left, more time to wait.
 std::uint16_t millisecondsLeft(Time t) {
   return static_cast<std::uint16_t>(std::clamp<Time>(t / kMillisecond, 0, kMostMilliseconds));
 }
@@ -29,12 +29,12 @@
   }
   for (const SiteId owner : owners) {
     if (const auto leader = voters_.leaderOf(owner, liveness_))
-      send(*leader, message(Kind::LeaseQuery, lease_cache_.beginQuery(now)), out);
+      send(*leader, message(MessageKind::LeaseQuery, lease_cache_.beginQuery(now)), out);
   }
 }
 
 void Member::onLeaseQuery(Time now, Number from, const Message& query, Output& out) {
-  Message reply = message(Kind::LeaseReply, query.round);
+  Message reply = message(MessageKind::LeaseReply, query.round);
   for (const auto& [id, lease] : lease_holder_.all()) {
     if (!lease.confirmed || now >= lease.expires_at || !(voter_.known(id) == lease.grant)) continue;
     const std::uint16_t wait =
@@ -52,7 +52,7 @@
   }
 }
 
-// Leases that this member holds itself need no query.
+// Enters the leases that this member holds itself into its cache, so that they need no query.
 void Member::publishOwnLeases() {
   for (const auto& [id, lease] : lease_holder_.all()) {
     if (lease.confirmed && voter_.known(id) == lease.grant && !voter_.disputed(id))
--- a/src/leases/renewal.cpp
+++ b/src/leases/renewal.cpp
@@ -1,4 +1,4 @@
-// Leases of this member's site: a leader asks voters to renew their promises, voters answer.
+// Leases of this member's site: its leader requests renewal of the promises, and voters reply.
 #include <utility>
 
 #include "leases/member.h"
@@ -10,38 +10,38 @@
   if (!isSiteLeader()) return;
   const std::vector<StoredGrant> grants = voter_.promisesTo(site_);
   if (grants.empty()) return;
-  // A drain time that the leader before this one has told does not start again.
+  // A drain time whose end the previous leader has announced does not start again.
   for (const StoredGrant& s : grants) {
     const Time ready = lease_cache_.readyAt(s.service, s.grant);
     if (lease_holder_.lease(s.service) == nullptr && ready != fleet::kNever)
-      lease_holder_.takeOver(s.service, s.grant, ready);
+      lease_holder_.adoptFromPreviousLeader(s.service, s.grant, ready);
   }
   const std::uint32_t round = lease_holder_.beginRound(now, grants);
-  Message request = message(Kind::Renew, round);
+  Message request = message(MessageKind::Renew, round);
   request.digest = digestOf(grants);
-  forOthers([&](Number n) { send(n, request, out); });
+  forEachOther([&](Number n) { send(n, request, out); });
   for (const StoredGrant& s : grants) {
     const Voter::Answer own = voter_.renew(now, {s.service, s.grant}, liveness_);
-    if (own.entry.yes) lease_holder_.onVote(now, round, self_, own.entry, liveness_.live.size());
+    if (own.entry.granted) lease_holder_.onVote(now, round, self_, own.entry, liveness_.live.size());
   }
 }
 
 void Member::onRenew(Time now, Number from, const Message& request, Output& out) {
-  Message vote = message(Kind::Vote, request.round);
+  Message vote = message(MessageKind::Vote, request.round);
   if (request.entries.empty()) {
     const std::vector<StoredGrant> promised = voter_.promisesTo(request.site);
     bool whole = !promised.empty() && digestOf(promised) == request.digest;
     for (const StoredGrant& s : promised) {
       if (!whole) break;
-      whole = voter_.renew(now, {s.service, s.grant}, liveness_).entry.yes;
+      whole = voter_.renew(now, {s.service, s.grant}, liveness_).entry.granted;
     }
     vote.digest = static_cast<std::uint32_t>(whole ? VoteForm::WholeSet : VoteForm::SetDiffers);
     return send(from, vote, out);
   }
   for (const Entry& e : request.entries) {
     const Voter::Answer answer = voter_.renew(now, e, liveness_);
-    if (!answer.entry.yes) checkClaim(now, from, e, request.config_hash, out);
-    const bool confirmed = !e.yes;  // by a majority, to the leader that asks
+    if (!answer.entry.granted) checkClaim(now, from, e, request.config_hash, out);
+    const bool confirmed = !e.granted;  // in a Renew the bit marks grants that no quorum has confirmed yet
     if (confirmed) learn(now, e.service, e.grant, out);
     vote.entries.push_back(answer.entry);
   }
@@ -57,14 +57,14 @@
   for (const Entry& e : vote.entries) {
     const Grant mine = voter_.known(e.service);
     lease_holder_.onVote(now, vote.round, from, e, liveness_.live.size());
-    if (!e.yes) onRefusal(now, vote.round, e, mine, out);
+    if (!e.granted) onRefusal(now, vote.round, e, mine, out);
   }
 }
 
 void Member::sendGrantList(Number to, std::uint32_t round, Output& out) const {
   const std::vector<StoredGrant>* const grants = lease_holder_.grantsOf(round);
   if (grants == nullptr) return;
-  Message list = message(Kind::Renew, round);
+  Message list = message(MessageKind::Renew, round);
   for (const StoredGrant& s : *grants) {
     const Lease* const lease = lease_holder_.lease(s.service);
     list.entries.push_back({s.service, s.grant, lease == nullptr || !lease->confirmed});
@@ -72,7 +72,7 @@
   sendParts(to, list, out);
 }
 
-// `mine`: what was known here when the vote arrived.
+// `mine`: the newest grant known here when the vote arrived.
 void Member::onRefusal(Time now, std::uint32_t round, const Entry& entry, const Grant& mine, Output& out) {
   const bool from_synchronized = entry.wait_ms == 0;
   if (from_synchronized) learn(now, entry.service, entry.grant, out);
@@ -81,7 +81,8 @@
   if (!entry.unknown) return;
   const Lease* const lease = lease_holder_.lease(entry.service);
   if (lease == nullptr || lease->confirmed || !lease_holder_.isUnwitnessed(round, entry.service)) return;
-  // Nobody remembers it: the service is claimed anew, under a term that nobody can have granted either.
+  // No other member knows this grant: the service is claimed again, under a term that can't have been
+  // granted.
   report(now, {.kind = ConflictKind::Unwitnessed, .service = entry.service, .claimant = self_, .claim = mine},
          out);
   voter_.retract(entry.service);
--- a/src/leases/state_sync.cpp
+++ b/src/leases/state_sync.cpp
@@ -6,22 +6,22 @@
 
 void StateSync::restart(bool has_storage) {
   ++round_;
-  told_.clear();
+  received_.clear();
   synchronized_ = unsynchronized_ = {};
   any_grant_ = has_storage;
 }
 
 bool StateSync::onReply(Number from, const Message& message) {
-  std::set<ServiceId>& told = told_[from];
+  std::set<ServiceId>& received = received_[from];
   for (const Entry& e : message.entries) {
-    told.insert(e.service);
+    received.insert(e.service);
     any_grant_ = any_grant_ || e.grant.term > 0;
   }
-  if (told.size() < message.digest) return false;
+  if (received.size() < message.digest) return false;
   (message.synchronized ? synchronized_ : unsynchronized_).add(voters_, from);
   VoteSet counted = synchronized_;
   if (!any_grant_) counted.add(voters_, unsynchronized_);
-  // This member's own storage is among those that may be wrong: it does not count.
+  // This member does not count, since its own storage may be outdated.
   return counted.count() >= std::min(voters_.majority(), voters_.size() - 1);
 }
 
--- a/src/leases/synchronization.cpp
+++ b/src/leases/synchronization.cpp
@@ -1,4 +1,4 @@
-// What other members know: asked for at the start, and learned from every message.
+// Grants known to other members: requested at the start, and learned from every later message.
 #include <utility>
 
 #include "leases/member.h"
@@ -10,18 +10,18 @@
 
 }  // namespace
 
-// A member that starts asks until a majority of the others has told all that it knows.
+// After its start a member repeats the request until a majority of the others has sent all grants it knows.
 void Member::requestSync(Time now, Output& out) {
   sync_at_ = now + kSyncInterval;
-  const Message request = message(Kind::SyncRequest, state_sync_.round());
-  forOthers([&](Number n) {
-    if (state_sync_.needs(n)) send(n, request, out);
+  const Message request = message(MessageKind::SyncRequest, state_sync_.round());
+  forEachOther([&](Number n) {
+    if (state_sync_.needsReplyFrom(n)) send(n, request, out);
   });
   if (voters_.size() == 1) synchronize(now, out);
 }
 
 void Member::onSyncRequest(Number from, const Message& request, Output& out) {
-  Message reply = message(Kind::SyncReply, request.round);
+  Message reply = message(MessageKind::SyncReply, request.round);
   for (const StoredGrant& s : voter_.allKnown()) reply.entries.push_back({s.service, s.grant});
   reply.digest = static_cast<std::uint32_t>(reply.entries.size());
   sendParts(from, reply, out);
@@ -42,8 +42,8 @@
   }
 }
 
-// What is learned never widens what this member does: a newer grant ends the old one here at once, and counts
-// itself only once its site's leader has been asked.
+// A learned grant never permits more than before: a newer grant invalidates the old one here at once, but
+// requests are sent under it only after its site's leader has confirmed the lease.
 void Member::learn(Time now, ServiceId service, const Grant& grant, Output& out) {
   const Grant before = voter_.known(service);
   const bool newer = voter_.learn(service, grant);
@@ -56,7 +56,7 @@
             .service = service,
             .claimant = self_,
             .claim = lease->grant,
-            .against = grant},
+            .known = grant},
            out);
   }
   invalidate(service);
@@ -64,16 +64,16 @@
 
 void Member::onDispute(Time now, ServiceId service, const Grant& before, const Grant& grant, Output& out) {
   invalidate(service);
-  // All members have to know both grants, or some would go on with one of them.
+  // All members have to know both grants; otherwise some would continue under one of them.
   if (isSiteLeader() && std::exchange(disputes_broadcast_[service], grant.term) != grant.term) {
-    Message both = message(Kind::Claim, 0);
+    Message both = message(MessageKind::Claim, 0);
     both.entries = {{service, before}, {service, grant}};
     sendToOthers(both, out);
   }
   const bool overrides = before.reason == ClaimReason::Override && grant.reason == ClaimReason::Override;
   if (!overrides || grant.site == before.site) return;
   report(now,
-         {.kind = ConflictKind::ConflictingOverrides, .service = service, .claim = grant, .against = before},
+         {.kind = ConflictKind::ConflictingOverrides, .service = service, .claim = grant, .known = before},
          out);
 }
 
--- a/src/leases/voter.cpp
+++ b/src/leases/voter.cpp
@@ -15,7 +15,7 @@
   quarantined_until_ = now + settings_.promiseDuration();
   synchronized_at_.reset();
   promises_.clear();
-  for (const StoredGrant& k : stored) promises_[k.service] = {k.grant, true, quarantined_until_};
+  for (const StoredGrant& s : stored) promises_[s.service] = {s.grant, true, quarantined_until_};
 }
 
 const Service* Voter::findService(ServiceId id) const {
@@ -26,8 +26,8 @@
 
 bool Voter::learn(ServiceId service, const Grant& grant) {
   if (grant.term == 0) return false;
-  Heard& h = heard_[service];
-  h.best = std::max(h.best, grant.term);
+  Learned& h = learned_[service];
+  h.newest_term = std::max(h.newest_term, grant.term);
   const Grant before = known(service);
   if (grant.term < before.term) return false;
   if (grant.term == before.term) {
@@ -44,10 +44,10 @@
   if (synchronized_at_) return unwitnessed;
   synchronized_at_ = now;
   for (const auto& [id, p] : promises_) {
-    const auto h = heard_.find(id);
-    if (h == heard_.end() || h->second.best < p.grant.term) unwitnessed.push_back({id, p.grant});
+    const auto h = learned_.find(id);
+    if (h == learned_.end() || h->second.newest_term < p.grant.term) unwitnessed.push_back({id, p.grant});
   }
-  for (const StoredGrant& k : unwitnessed) retract(k.service);
+  for (const StoredGrant& s : unwitnessed) retract(s.service);
   return unwitnessed;
 }
 
@@ -59,32 +59,32 @@
 }
 
 void Voter::raiseTermFloor(ServiceId service, Term term) {
-  Heard& h = heard_[service];
-  h.floor = std::max(h.floor, term);
+  Learned& h = learned_[service];
+  h.term_floor = std::max(h.term_floor, term);
 }
 
 Grant Voter::known(ServiceId service) const {
   Grant best;
   if (const auto p = promises_.find(service); p != promises_.end()) best = p->second.grant;
-  if (const auto h = heard_.find(service); h != heard_.end() && h->second.grant.term > best.term)
+  if (const auto h = learned_.find(service); h != learned_.end() && h->second.grant.term > best.term)
     best = h->second.grant;
   return best;
 }
 
 Term Voter::nextTerm(ServiceId service) const {
-  const auto h = heard_.find(service);
-  return std::max(known(service).term, h == heard_.end() ? 0 : h->second.floor) + 1;
+  const auto h = learned_.find(service);
+  return std::max(known(service).term, h == learned_.end() ? 0 : h->second.term_floor) + 1;
 }
 
 bool Voter::disputed(ServiceId service) const {
-  const auto h = heard_.find(service);
-  return h != heard_.end() && h->second.disputed;
+  const auto h = learned_.find(service);
+  return h != learned_.end() && h->second.disputed;
 }
 
 std::vector<StoredGrant> Voter::allKnown() const {
   std::vector<StoredGrant> all;
   for (const auto& [id, p] : promises_) all.push_back({id, known(id)});
-  for (const auto& [id, h] : heard_) {
+  for (const auto& [id, h] : learned_) {
     if (!promises_.contains(id) && h.grant.term > 0) all.push_back({id, h.grant});
   }
   return all;
@@ -105,74 +105,76 @@
   return all;
 }
 
-Voter::Answer Voter::refusal(Time now, const Entry& asked) const {
-  Answer a{asked};
-  a.entry.yes = false;
-  a.entry.grant = known(asked.service);
-  a.entry.unknown = a.entry.grant.term < asked.grant.term;
+Voter::Answer Voter::refusal(Time now, const Entry& requested) const {
+  Answer a{requested};
+  a.entry.granted = false;
+  a.entry.grant = known(requested.service);
+  a.entry.unknown = a.entry.grant.term < requested.grant.term;
   a.entry.wait_ms = mayPromise(now) ? 0 : 1;
-  if (const auto p = promises_.find(asked.service); p != promises_.end() && p->second.binds_until > now)
+  if (const auto p = promises_.find(requested.service); p != promises_.end() && p->second.binds_until > now)
     a.entry.valid_ms = millisecondsOf(p->second.binds_until - now);
   return a;
 }
 
-Voter::Answer Voter::renew(Time now, const Entry& asked, const LivenessView& liveness) {
-  const auto p = promises_.find(asked.service);
-  const bool same = promised(asked.service, asked.grant) && known(asked.service) == p->second.grant;
-  if (!same || liveness.isLost(asked.grant.site) || disputed(asked.service)) return refusal(now, asked);
+Voter::Answer Voter::renew(Time now, const Entry& requested, const LivenessView& liveness) {
+  const auto p = promises_.find(requested.service);
+  const bool same =
+      promised(requested.service, requested.grant) && known(requested.service) == p->second.grant;
+  if (!same || liveness.isLost(requested.grant.site) || disputed(requested.service))
+    return refusal(now, requested);
   p->second.binds_until = std::max(p->second.binds_until, now + settings_.promiseDuration());
-  Answer a{asked};
-  a.entry.yes = true;
+  Answer a{requested};
+  a.entry.granted = true;
   a.entry.unknown = false;
   return a;
 }
 
-// Judged by this member's own operator file and by what it sees itself.
-bool Voter::isJustified(Time now, const Entry& asked, const LivenessView& liveness) const {
-  const Grant held = known(asked.service);
-  const Grant& wanted = asked.grant;
-  if (wanted.reason == ClaimReason::Override) return true;
-  const Service* const s = findService(asked.service);
+// Whether the claim's reason is valid, by this member's own operator file and its own view of liveness.
+bool Voter::isJustified(Time now, const Entry& requested, const LivenessView& liveness) const {
+  const Grant current = known(requested.service);
+  const Grant& claimed = requested.grant;
+  if (claimed.reason == ClaimReason::Override) return true;
+  const Service* const s = findService(requested.service);
   if (s == nullptr) return false;
-  if (disputed(asked.service)) return wanted.site == s->home;
-  switch (wanted.reason) {
+  if (disputed(requested.service)) return claimed.site == s->home;
+  switch (claimed.reason) {
     case ClaimReason::Home:
-      return held.term == 0 && wanted.site == s->home;
+      return current.term == 0 && claimed.site == s->home;
     case ClaimReason::Reclaim:
-      return wanted.site == held.site;
+      return claimed.site == current.site;
     default:
       break;
   }
-  if (wanted.site != s->home && wanted.site != s->stand_by) return false;
-  // An owner that is live but has not renewed for two promise durations has given the service up.
-  const auto p = promises_.find(asked.service);
+  if (claimed.site != s->home && claimed.site != s->stand_by) return false;
+  // An owner that is live but has not renewed for two promise durations has given up the service.
+  const auto p = promises_.find(requested.service);
   const bool given_up = p == promises_.end() || p->second.binds_until + settings_.promiseDuration() <= now;
-  return given_up || voters_.isGone(held.site, liveness);
+  return given_up || voters_.isUnavailable(current.site, liveness);
 }
 
-Voter::Answer Voter::claim(Time now, const Entry& asked, const LivenessView& liveness) {
-  const auto p = promises_.find(asked.service);
-  if (p != promises_.end() && p->second.grant == asked.grant && known(asked.service) == asked.grant &&
-      !disputed(asked.service)) {
-    Answer a{asked};  // a repeated claim; only a renewal binds for longer
-    a.entry.yes = true;
+Voter::Answer Voter::claim(Time now, const Entry& requested, const LivenessView& liveness) {
+  const auto p = promises_.find(requested.service);
+  if (p != promises_.end() && p->second.grant == requested.grant &&
+      known(requested.service) == requested.grant && !disputed(requested.service)) {
+    Answer a{requested};  // a repeated claim; only a renewal extends the promise
+    a.entry.granted = true;
     a.store = !p->second.durable;
     return a;
   }
-  // Hearing of a grant is no promise: a claim of exactly the known grant is one whose vote this member
-  // missed.
-  const Grant held = known(asked.service);
-  const bool missed = held == asked.grant && !disputed(asked.service);
-  if (!mayPromise(now) ||
-      (!missed && (asked.grant.term < nextTerm(asked.service) || !isJustified(now, asked, liveness))))
-    return refusal(now, asked);
+  // Learning of a grant is not a promise: if exactly the known grant is claimed, this member missed the
+  // original claim and can still vote for it.
+  const Grant current = known(requested.service);
+  const bool missed = current == requested.grant && !disputed(requested.service);
+  if (!mayPromise(now) || (!missed && (requested.grant.term < nextTerm(requested.service) ||
+                                       !isJustified(now, requested, liveness))))
+    return refusal(now, requested);
   const bool bound =
-      p != promises_.end() && p->second.binds_until > now && p->second.grant.site != asked.grant.site;
-  if (bound) return refusal(now, asked);
-  promises_[asked.service] = {asked.grant, false, now + settings_.promiseDuration()};
-  if (const auto h = heard_.find(asked.service); h != heard_.end()) h->second.disputed = false;
-  Answer a{asked};
-  a.entry.yes = true;
+      p != promises_.end() && p->second.binds_until > now && p->second.grant.site != requested.grant.site;
+  if (bound) return refusal(now, requested);
+  promises_[requested.service] = {requested.grant, false, now + settings_.promiseDuration()};
+  if (const auto h = learned_.find(requested.service); h != learned_.end()) h->second.disputed = false;
+  Answer a{requested};
+  a.entry.granted = true;
   a.entry.unknown = false;
   a.store = true;
   return a;
@@ -184,7 +186,7 @@
   if (ok) {
     p->second.durable = true;
   } else {
-    // Nobody has heard of it, but its term is not used again.
+    // No vote has been sent for it, but its term is not used again.
     raiseTermFloor(stored.service, stored.grant.term);
     promises_.erase(p);
   }
--- a/src/leases/wire.cpp
+++ b/src/leases/wire.cpp
@@ -9,7 +9,9 @@
 namespace client_proxy::leases {
 namespace {
 
-constexpr std::uint8_t kYes = 0x80, kUnknown = 0x40, kReasonMask = 0x0F;
+// The byte of Message::kind and the byte of an entry's ClaimReason carry flags in their upper bits. kFlagBit
+// is Message::synchronized in the former and Entry::granted in the latter.
+constexpr std::uint8_t kFlagBit = 0x80, kUnknownBit = 0x40, kValueMask = 0x0F;
 
 }  // namespace
 
@@ -24,7 +26,7 @@
 std::string encode(const Message& m) {
   using fleet::put;
   std::string out;
-  put(out, static_cast<std::uint8_t>(static_cast<unsigned>(m.kind) | (m.synchronized ? kYes : 0U)));
+  put(out, static_cast<std::uint8_t>(static_cast<unsigned>(m.kind) | (m.synchronized ? kFlagBit : 0U)));
   put(out, m.round);
   put(out, m.installation);
   put(out, m.config_hash);
@@ -34,8 +36,8 @@
     put(out, e.service);
     put(out, e.grant.term);
     put(out, e.grant.site);
-    put(out, static_cast<std::uint8_t>(static_cast<unsigned>(e.grant.reason) | (e.yes ? kYes : 0U) |
-                                       (e.unknown ? kUnknown : 0U)));
+    put(out, static_cast<std::uint8_t>(static_cast<unsigned>(e.grant.reason) | (e.granted ? kFlagBit : 0U) |
+                                       (e.unknown ? kUnknownBit : 0U)));
     put(out, e.valid_ms);
     put(out, e.wait_ms);
   }
@@ -46,12 +48,12 @@
   fleet::Reader in(bytes);
   Message m;
   const auto first = in.get<std::uint8_t>();
-  const std::uint8_t kind = first & kReasonMask;
-  if (kind < static_cast<std::uint8_t>(Kind::SyncRequest) ||
-      kind > static_cast<std::uint8_t>(Kind::LeaseReply))
+  const std::uint8_t kind = first & kValueMask;
+  if (kind < static_cast<std::uint8_t>(MessageKind::SyncRequest) ||
+      kind > static_cast<std::uint8_t>(MessageKind::LeaseReply))
     return std::nullopt;
-  m.kind = static_cast<Kind>(kind);
-  m.synchronized = (first & kYes) != 0;
+  m.kind = static_cast<MessageKind>(kind);
+  m.synchronized = (first & kFlagBit) != 0;
   m.round = in.get<std::uint32_t>();
   m.installation = in.get<std::uint32_t>();
   m.config_hash = in.get<std::uint32_t>();
@@ -66,23 +68,23 @@
     const auto flags = in.get<std::uint8_t>();
     e.valid_ms = in.get<std::uint16_t>();
     e.wait_ms = in.get<std::uint16_t>();
-    if (!in.ok() || (flags & kReasonMask) > static_cast<std::uint8_t>(ClaimReason::Override))
+    if (!in.ok() || (flags & kValueMask) > static_cast<std::uint8_t>(ClaimReason::Override))
       return std::nullopt;
-    e.grant.reason = static_cast<ClaimReason>(flags & kReasonMask);
-    e.yes = (flags & kYes) != 0;
-    e.unknown = (flags & kUnknown) != 0;
+    e.grant.reason = static_cast<ClaimReason>(flags & kValueMask);
+    e.granted = (flags & kFlagBit) != 0;
+    e.unknown = (flags & kUnknownBit) != 0;
     m.entries.push_back(e);
   }
-  if (m.entries.size() > kMostEntries) return std::nullopt;
+  if (m.entries.size() > kMaxEntries) return std::nullopt;
   return m;
 }
 
-std::vector<Message> inParts(const Message& message) {
+std::vector<Message> splitIntoParts(const Message& message) {
   std::vector<Message> parts;
   std::size_t at = 0;
   do {
     Message part = message;
-    const std::size_t n = std::min(kMostEntries, message.entries.size() - at);
+    const std::size_t n = std::min(kMaxEntries, message.entries.size() - at);
     const auto from = message.entries.begin() + static_cast<std::ptrdiff_t>(at);
     part.entries.assign(from, from + static_cast<std::ptrdiff_t>(n));
     parts.push_back(std::move(part));
@@ -93,9 +95,9 @@
 
 std::uint32_t digestOf(const std::vector<StoredGrant>& grants) {
   std::uint64_t all = grants.size();
-  for (const StoredGrant& k : grants) {
-    const std::uint64_t one = std::uint64_t{k.service} << 32 | k.grant.term;
-    all += load_balancer::Random(one ^ std::uint64_t{k.grant.site} << 16).next();
+  for (const StoredGrant& stored : grants) {
+    const std::uint64_t hash_input = std::uint64_t{stored.service} << 32 | stored.grant.term;
+    all += load_balancer::Random(hash_input ^ std::uint64_t{stored.grant.site} << 16).next();
   }
   return static_cast<std::uint32_t>(all ^ (all >> 32));
 }
--- a/src/ownership/ownership_service.cpp
+++ b/src/ownership/ownership_service.cpp
@@ -43,7 +43,7 @@
   lease_settings_.lease = settings_.own.lease;
   lease_settings_.drain = settings_.longest_deadline + settings_.longest_window;
   lease_settings_.config_hash = services_.hash();
-  std::vector<leases::Listed> listed_members;
+  std::vector<leases::ListedMember> listed_members;
   for (const fleet_transport::MembershipService::Member& m : membership_.members()) {
     const leases::SiteId site = leases::siteId(m.zone);
     listed_members.push_back({m.number, site});
@@ -279,14 +279,14 @@
     if (conflict.kind == leases::ConflictKind::CopiedStorage) one["same_as"] = conflict.other;
     if (conflict.claim.term > 0) {
       one["claimed"] = {{"zone", zoneOf(conflict.claim.site)}, {"term", conflict.claim.term}};
-      one["known"] = {{"zone", zoneOf(conflict.against.site)}, {"term", conflict.against.term}};
+      one["known"] = {{"zone", zoneOf(conflict.known.site)}, {"term", conflict.known.term}};
     }
     one["times"] = conflict.times;
     one["first_s"] = seconds(now - conflict.first);
     one["settled"] = conflict.settled;
-    one["stands_down"] = resolution.stands_down;
-    one["meanwhile"] = resolution.meanwhile;
-    one["ends"] = resolution.ends;
+    one["stands_down"] = resolution.yielding_party;
+    one["meanwhile"] = resolution.served_meanwhile;
+    one["ends"] = resolution.ends_when;
     wrong.push_back(std::move(one));
   }
   return dumped({{"member", settings_.number},
--- a/tests/leases_sim.h
+++ b/tests/leases_sim.h
@@ -274,7 +274,7 @@
 
   Shape shape_;
   load_balancer::Random random_;
-  std::vector<Listed> listed_;
+  std::vector<ListedMember> listed_;
   std::vector<Node> nodes_;
   std::priority_queue<Event> events_;
   std::uint64_t order_ = 0;
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -297,11 +297,11 @@
 
 TEST(LeasesWire, ComesBackAsItWasAndWhatIsMalformedIsNot) {
   Message m;
-  m.kind = Kind::Vote;
+  m.kind = MessageKind::Vote;
   m.round = 77, m.installation = 5, m.config_hash = 6, m.digest = 2, m.site = 9, m.synchronized = true;
   for (ServiceId i = 0; i < 30; ++i)
     m.entries.push_back({i, {i + 1, 4, ClaimReason::Override}, i % 2 == 0, i % 3 == 0, 1000, 65'535});
-  const auto parts = inParts(m);
+  const auto parts = splitIntoParts(m);
   ASSERT_EQ(parts.size(), 3U);
   const std::string bytes = encode(parts[2]);
   EXPECT_LE(encode(parts[0]).size(), 200U);
@@ -321,7 +321,7 @@
     std::string any(random.below(220), '\0');
     for (char& c : any) c = static_cast<char>(random.next());
     const auto some = decode(any);
-    EXPECT_TRUE(!some || some->entries.size() <= kMostEntries);
+    EXPECT_TRUE(!some || some->entries.size() <= kMaxEntries);
   }
   EXPECT_NE(siteId("a"), kNoSite);
   EXPECT_EQ(siteId(""), kNoSite);
