--- a/src/ownership/change_preview_coordinator.cpp
+++ b/src/ownership/change_preview_coordinator.cpp
@@ -13,16 +13,17 @@
 using change_preview::PreviewTotals;
 using nlohmann::ordered_json;
 
-constexpr std::uint8_t kAsk = 0x10, kTell = 0x20;
-constexpr std::size_t kPiece = 180, kRecorded = 16'384;
-constexpr Time kSpan = 1800 * kSecond, kAskEvery = 300 * kMillisecond, kWait = 5 * kSecond;
+constexpr std::uint8_t kTotalsRequest = 0x10, kTotalsReply = 0x20;
+constexpr std::size_t kMaxPieceBytes = 180, kMaxSampled = 16'384;
+constexpr Time kSampledTime = 1800 * kSecond, kRequestInterval = 300 * kMillisecond,
+               kReplyTimeout = 5 * kSecond;
 
 std::uint64_t hashOf(std::string_view text) {
   return std::uint64_t{leases::serviceId(text)} << 32 |
          leases::serviceId(std::string("#") + std::string(text));
 }
 
-// In the order of the wire.
+// Visits the numbers and tables in the order of the wire format.
 template <typename T, typename Each>
 void eachNumber(T& t, Each each) {
   each(t.all), each(t.squares), each(t.to_other_service), each(t.to_other_site), each(t.left_alone);
@@ -35,7 +36,7 @@
 
 }  // namespace
 
-std::vector<std::string> piecesOf(const PreviewTotals& totals, std::size_t most) {
+std::vector<std::string> encodeToPieces(const PreviewTotals& totals, std::size_t max_bytes) {
   std::string all;
   const auto number = [&](double n) { fleet::put(all, std::bit_cast<std::uint64_t>(n)); };
   eachNumber(totals, number);
@@ -43,26 +44,26 @@
   eachTable(totals, [&](const std::map<std::string, double>& table) {
     fleet::put(all, static_cast<std::uint16_t>(table.size()));
     for (const auto& [name, n] : table) {
-      const std::string_view cut = std::string_view(name).substr(0, 64);
-      fleet::put(all, static_cast<std::uint8_t>(cut.size()));
-      all += cut;
+      const std::string_view truncated = std::string_view(name).substr(0, 64);
+      fleet::put(all, static_cast<std::uint8_t>(truncated.size()));
+      all += truncated;
       number(n);
     }
   });
   std::vector<std::string> pieces;
-  for (std::size_t at = 0; at < all.size(); at += most) pieces.push_back(all.substr(at, most));
+  for (std::size_t at = 0; at < all.size(); at += max_bytes) pieces.push_back(all.substr(at, max_bytes));
   return pieces;
 }
 
-std::optional<PreviewTotals> totalsOf(const std::vector<std::string>& pieces) {
+std::optional<PreviewTotals> decodeTotals(const std::vector<std::string>& pieces) {
   std::string all;
   for (const std::string& p : pieces) all += p;
   fleet::Reader in(all);
   PreviewTotals t;
-  bool sound = true;
+  bool valid = true;
   const auto number = [&](double& n) {
     n = std::bit_cast<double>(in.get<std::uint64_t>());
-    sound = sound && n >= 0 && n < 1e15;
+    valid = valid && n >= 0 && n < 1e15;
   };
   eachNumber(t, number);
   t.members = in.get<std::uint16_t>();
@@ -72,47 +73,47 @@
       number(table[name]);
     }
   });
-  if (!in.ok() || !sound || in.left() > 0) return std::nullopt;
+  if (!in.ok() || !valid || in.left() > 0) return std::nullopt;
   return t;
 }
 
-ChangePreviewCoordinator::ChangePreviewCoordinator(const Services& now,
+ChangePreviewCoordinator::ChangePreviewCoordinator(const Services& current,
                                                    const std::vector<ServiceSetting>& settings, Number self,
                                                    Environment environment)
-    : now_(now),
+    : current_(current),
       settings_(settings),
       self_(self),
       environment_(std::move(environment)),
-      record_(kRecorded, kSpan, self + 1U) {}
+      sample_(kMaxSampled, kSampledTime, self + 1U) {}
 
 void ChangePreviewCoordinator::note(const ServiceGate::CompletedRequest& r, Time now) {
   const routing::Target target = routing::targetOf(r.head.target);
   if (!target.ok()) return;
-  traffic_sample::SampledRequest e;
-  e.at = now;
-  e.key = r.head.key.empty() ? 0 : hashOf(r.head.key);
-  e.work = static_cast<float>(static_cast<double>(r.took) / 1e6);
-  e.priority_weight = static_cast<float>(r.priority_weight);
-  e.request_class = names_.numberOf(r.request_class);
-  e.tenant = names_.numberOf(r.head.account);
-  e.method = names_.numberOf(r.head.method);
-  e.path = names_.numberOf(traffic_sample::shapeOf(target.path));
-  e.zone = names_.numberOf(r.zone);
-  e.idempotency = r.idempotency == load_balancer::Idempotency::Idempotent
-                      ? traffic_sample::Idempotency::Idempotent
-                  : r.idempotency == load_balancer::Idempotency::IdempotentWithKey
-                      ? traffic_sample::Idempotency::IdempotentWithKey
-                      : traffic_sample::Idempotency::NonIdempotent;
-  e.outcome = r.status == 200   ? traffic_sample::Outcome::Served
-              : r.status == 503 ? traffic_sample::Outcome::Refused
-                                : traffic_sample::Outcome::Failed;
-  record_.note(e);
+  traffic_sample::SampledRequest sampled;
+  sampled.at = now;
+  sampled.key = r.head.key.empty() ? 0 : hashOf(r.head.key);
+  sampled.work = static_cast<float>(static_cast<double>(r.took) / 1e6);
+  sampled.priority_weight = static_cast<float>(r.priority_weight);
+  sampled.request_class = names_.numberOf(r.request_class);
+  sampled.tenant = names_.numberOf(r.head.account);
+  sampled.method = names_.numberOf(r.head.method);
+  sampled.path = names_.numberOf(traffic_sample::shapeOf(target.path));
+  sampled.zone = names_.numberOf(r.zone);
+  sampled.idempotency = r.idempotency == load_balancer::Idempotency::Idempotent
+                            ? traffic_sample::Idempotency::Idempotent
+                        : r.idempotency == load_balancer::Idempotency::IdempotentWithKey
+                            ? traffic_sample::Idempotency::IdempotentWithKey
+                            : traffic_sample::Idempotency::NonIdempotent;
+  sampled.outcome = r.status == 200   ? traffic_sample::Outcome::Served
+                    : r.status == 503 ? traffic_sample::Outcome::Refused
+                                      : traffic_sample::Outcome::Failed;
+  sample_.note(sampled);
 }
 
 std::variant<ChangePreviewCoordinator::Pending, ChangePreviewCoordinator::InvalidPending>
 ChangePreviewCoordinator::readPending() const {
   try {
-    ServiceSettings settings = environment_.pending();
+    ServiceSettings settings = environment_.load_pending();
     Services services(settings.services);
     const std::uint32_t hash = services.hash() == 0 ? 1 : services.hash();
     return Pending{hash, std::move(settings.services), std::move(services)};
@@ -121,49 +122,51 @@
   }
 }
 
-// The grant that holds stays with its service, unless the file gives it another home.
+// Assumes that a service keeps its current owner, unless the pending file changes its home.
 PreviewTotals ChangePreviewCoordinator::replay(const Pending& pending, Time now) const {
-  const auto side = [&](const Services& services, const std::vector<ServiceSetting>& settings) {
-    change_preview::RoutingSnapshot s;
+  const auto snapshot_of = [&](const Services& services, const std::vector<ServiceSetting>& settings) {
+    change_preview::RoutingSnapshot snapshot;
     std::vector<std::string> zones;
-    for (const ServiceSetting& v : settings) {
+    for (const ServiceSetting& service : settings) {
       const auto before =
-          std::find_if(settings_.begin(), settings_.end(), [&](auto& o) { return o.name == v.name; });
-      const leases::Grant held = environment_.known(leases::serviceId(v.name));
-      const bool stays = held.term > 0 && before != settings_.end() && before->home == v.home;
-      zones.push_back(stays ? environment_.zone_of(held.site) : v.home);
-      for (const ServiceRoute& r : v.routes) s.routes.push_back(v.name + "/" + r.name);
+          std::find_if(settings_.begin(), settings_.end(), [&](auto& o) { return o.name == service.name; });
+      const leases::Grant known = environment_.known_grant(leases::serviceId(service.name));
+      const bool keeps_owner = known.term > 0 && before != settings_.end() && before->home == service.home;
+      zones.push_back(keeps_owner ? environment_.zone_of(known.site) : service.home);
+      for (const ServiceRoute& r : service.routes) snapshot.routes.push_back(service.name + "/" + r.name);
     }
-    s.place = [this, &services, &settings, zones](const traffic_sample::SampledRequest& e) {
-      change_preview::Placement p;
-      const Services::Match m =
-          services.find(names_.at(e.path), names_.at(e.method), names_.at(e.request_class));
-      if (!m.service) return p;
-      p.service = static_cast<std::int32_t>(*m.service);
-      p.route = static_cast<std::int32_t>(m.route);
-      p.service_name = settings[*m.service].name;
-      p.zone = zones[*m.service];
-      return p;
+    snapshot.place = [this, &services, &settings, zones](const traffic_sample::SampledRequest& sampled) {
+      change_preview::Placement placement;
+      const Services::Match match =
+          services.find(names_.at(sampled.path), names_.at(sampled.method), names_.at(sampled.request_class));
+      if (!match.service) return placement;
+      placement.service = static_cast<std::int32_t>(*match.service);
+      placement.route = static_cast<std::int32_t>(match.route);
+      placement.service_name = settings[*match.service].name;
+      placement.zone = zones[*match.service];
+      return placement;
     };
-    return s;
+    return snapshot;
   };
-  return change_preview::replay(record_, names_, side(now_, settings_),
-                                side(pending.services, pending.settings), now);
+  return change_preview::replay(sample_, names_, snapshot_of(current_, settings_),
+                                snapshot_of(pending.services, pending.settings), now);
 }
 
 change_preview::PreviewInputs ChangePreviewCoordinator::inputs() const {
-  change_preview::PreviewInputs g;
-  g.file = now_.hash();
-  g.pending = pending_;
+  change_preview::PreviewInputs inputs;
+  inputs.file = current_.hash();
+  inputs.pending = pending_;
   std::uint32_t services = 0, members = 0;
-  for (const leases::Service& s : now_.services()) {
-    const leases::Grant d = environment_.known(s.id);
-    services ^= leases::serviceId(s.name + "/" + std::to_string(d.term) + "/" + std::to_string(d.site));
+  for (const leases::Service& s : current_.services()) {
+    const leases::Grant grant = environment_.known_grant(s.id);
+    services ^=
+        leases::serviceId(s.name + "/" + std::to_string(grant.term) + "/" + std::to_string(grant.site));
   }
-  for (const Number n : environment_.live()) members ^= leases::serviceId("member " + std::to_string(n));
-  g.services = services;
-  g.members = members;
-  return g;
+  for (const Number n : environment_.live_members())
+    members ^= leases::serviceId("member " + std::to_string(n));
+  inputs.services = services;
+  inputs.members = members;
+  return inputs;
 }
 
 std::optional<std::string> ChangePreviewCoordinator::begin(Time now) {
@@ -172,56 +175,57 @@
   const auto& pending = std::get<Pending>(read);
   ++round_;
   pending_ = pending.hash;
-  began_ = now;
-  heard_.clear();
-  heard_[self_] = {pending_, {}, 0, replay(pending, now)};
+  started_at_ = now;
+  replies_.clear();
+  replies_[self_] = {pending_, {}, 0, replay(pending, now)};
   inputs_ = inputs();
-  asked_ = now - kAskEvery;
+  last_request_at_ = now - kRequestInterval;
   onTime(now);
   return std::nullopt;
 }
 
-void ChangePreviewCoordinator::ask(Number to) {
+void ChangePreviewCoordinator::requestTotals(Number to) {
   std::string bytes;
-  fleet::put(bytes, kAsk);
+  fleet::put(bytes, kTotalsRequest);
   fleet::put(bytes, round_);
   fleet::put(bytes, pending_);
   environment_.send(to, bytes);
 }
 
 void ChangePreviewCoordinator::onTime(Time now) {
-  if (round_ == 0 || done(now) || now - asked_ < kAskEvery) return;
-  asked_ = now;
-  for (const Number n : environment_.live()) {
-    const auto it = heard_.find(n);
-    if (n != self_ && (it == heard_.end() || (!it->second.totals && it->second.pending == pending_))) ask(n);
+  if (round_ == 0 || done(now) || now - last_request_at_ < kRequestInterval) return;
+  last_request_at_ = now;
+  for (const Number n : environment_.live_members()) {
+    const auto it = replies_.find(n);
+    if (n != self_ && (it == replies_.end() || (!it->second.totals && it->second.pending == pending_)))
+      requestTotals(n);
   }
 }
 
 bool ChangePreviewCoordinator::done(Time now) const {
-  if (now - began_ >= kWait) return true;
-  const std::vector<Number> live = environment_.live();
+  if (now - started_at_ >= kReplyTimeout) return true;
+  const std::vector<Number> live = environment_.live_members();
   return std::all_of(live.begin(), live.end(), [&](Number n) {
-    const auto it = heard_.find(n);
-    return it != heard_.end() && (it->second.totals || it->second.pending != pending_);
+    const auto it = replies_.find(n);
+    return it != replies_.end() && (it->second.totals || it->second.pending != pending_);
   });
 }
 
-void ChangePreviewCoordinator::receive(Time now, Number from, std::string_view parcel) {
-  fleet::Reader in(parcel);
+void ChangePreviewCoordinator::receive(Time now, Number from, std::string_view message) {
+  fleet::Reader in(message);
   const auto kind = in.get<std::uint8_t>();
   const auto round = in.get<std::uint32_t>();
   const auto pending = in.get<std::uint32_t>();
   if (!in.ok()) return;
-  if (kind == kAsk) {
+  if (kind == kTotalsRequest) {
     const std::variant<Pending, InvalidPending> read = readPending();
     const auto* const own = std::get_if<Pending>(&read);
     const std::uint32_t hash = own != nullptr ? own->hash : 0;
     std::vector<std::string> pieces = {""};
-    if (own != nullptr && hash == pending) pieces = piecesOf(replay(*own, now), kPiece);
+    if (own != nullptr && hash == pending) pieces = encodeToPieces(replay(*own, now), kMaxPieceBytes);
     for (std::size_t i = 0; i < pieces.size() && i < 255; ++i) {
       std::string bytes;
-      fleet::put(bytes, kTell);
+      fleet::put(bytes, kTotalsReply);
       fleet::put(bytes, round);
       fleet::put(bytes, hash);
       fleet::put(bytes, static_cast<std::uint8_t>(i));
@@ -230,59 +234,60 @@
     }
     return;
   }
-  if (kind != kTell || round != round_) return;
-  const auto piece = in.get<std::uint8_t>(), of = in.get<std::uint8_t>();
+  if (kind != kTotalsReply || round != round_) return;
+  const auto piece = in.get<std::uint8_t>(), piece_count = in.get<std::uint8_t>();
   if (!in.ok()) return;
-  Heard& h = heard_[from];
-  if (h.totals) return;
-  h.pending = pending;
+  Reply& reply = replies_[from];
+  if (reply.totals) return;
+  reply.pending = pending;
   if (pending != pending_) return;
-  if (h.of != of) h.pieces.clear();  // its record has grown since it was asked first
-  h.of = of;
-  h.pieces[piece] = std::string(in.take(in.left()));
-  if (h.pieces.size() < h.of) return;
+  if (reply.piece_count != piece_count)
+    reply.pieces.clear();  // the member's sample has grown since the first request
+  reply.piece_count = piece_count;
+  reply.pieces[piece] = std::string(in.take(in.left()));
+  if (reply.pieces.size() < reply.piece_count) return;
   std::vector<std::string> all;
-  for (auto& [at, bytes] : h.pieces) all.push_back(bytes);
-  h.totals = totalsOf(all);
-  if (!h.totals) h.pieces.clear();  // pieces of two answers
+  for (auto& [index, bytes] : reply.pieces) all.push_back(bytes);
+  reply.totals = decodeTotals(all);
+  if (!reply.totals) reply.pieces.clear();  // the pieces come from two different replies
 }
 
 std::string ChangePreviewCoordinator::page(Time now) const {
   if (round_ == 0) return ordered_json{{"state", "none"}}.dump(2);
   PreviewTotals all;
-  std::size_t unlike = 0;
-  ordered_json others = ordered_json::array();
-  for (const auto& [n, h] : heard_) {
-    if (h.totals) {
-      all.add(*h.totals);
-    } else if (h.pending != pending_) {
-      ++unlike;
-      others.push_back(n);
+  std::size_t differing_count = 0;
+  ordered_json differing = ordered_json::array();
+  for (const auto& [n, reply] : replies_) {
+    if (reply.totals) {
+      all.add(*reply.totals);
+    } else if (reply.pending != pending_) {
+      ++differing_count;
+      differing.push_back(n);
     }
   }
-  const change_preview::Assessment v =
-      change_preview::assess(all, environment_.rooms(), environment_.live().size(), unlike, inputs_);
-  const bool holds = v.holds(inputs());
-  const auto part = [&](double n) { return all.all > 0 ? n / all.all : 0; };
+  const change_preview::Assessment assessment = change_preview::assess(
+      all, environment_.zone_capacity(), environment_.live_members().size(), differing_count, inputs_);
+  const bool still_valid = assessment.holds(inputs());
+  const auto fraction = [&](double n) { return all.all > 0 ? n / all.all : 0; };
   ordered_json load = ordered_json::object();
   for (const auto& [zone, work] : all.work)
     load[zone] = all.seconds > 0 ? work / all.seconds * static_cast<double>(all.members) : 0;
-  ordered_json page = {{"state", !done(now) ? "gathering"
-                                 : holds    ? "judged"
-                                            : "void"},
-                       {"judgement", change_preview::nameOf(v.risk)},
-                       {"causes", v.causes},
+  ordered_json page = {{"state", !done(now)    ? "gathering"
+                                 : still_valid ? "judged"
+                                               : "void"},
+                       {"judgement", change_preview::nameOf(assessment.risk)},
+                       {"causes", assessment.causes},
                        {"members", all.members},
-                       {"coverage", v.coverage},
-                       {"error", v.error},
-                       {"unlike", others},
+                       {"coverage", assessment.coverage},
+                       {"error", assessment.error},
+                       {"unlike", differing},
                        {"requests", all.all},
                        {"seconds", all.members > 0 ? all.seconds / static_cast<double>(all.members) : 0},
-                       {"to_other_service", part(all.to_other_service)},
-                       {"to_other_site", part(all.to_other_site)},
-                       {"left_alone", part(all.left_alone)},
-                       {"taken_in", part(all.taken_in)},
-                       {"keys_split", part(all.keys_split)},
+                       {"to_other_service", fraction(all.to_other_service)},
+                       {"to_other_site", fraction(all.to_other_site)},
+                       {"left_alone", fraction(all.left_alone)},
+                       {"taken_in", fraction(all.taken_in)},
+                       {"keys_split", fraction(all.keys_split)},
                        {"load", load},
                        {"classes", all.classes},
                        {"tenants", all.tenants},
--- a/src/ownership/include/ownership/ownership_service.h
+++ b/src/ownership/include/ownership/ownership_service.h
@@ -1,5 +1,5 @@
-// Service ownership in a process: runs leases::Member with a timer, messages and storage, and is the gate
-// that the front asks before it sends a request of a service.
+// Service ownership in a process: runs leases::Member with a timer, messages and storage, and implements the
+// gate that the front consults before it sends a request of a service.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -29,21 +29,22 @@
     ServiceSettings own;
     std::string fleet;
     std::uint16_t number = 0;
-    Time longest_deadline = 0, longest_window = 0;               // of all classes
+    Time longest_deadline = 0, longest_window = 0;  // of requests and of deduplication, over all classes
     std::map<std::string, double, std::less<>> priority_weight;  // by class
-    std::function<ServiceSettings()> pending;                    // the pending file's; throws
-    std::function<std::map<std::string, double>()> rooms;        // by zone
+    std::function<ServiceSettings()> pending;  // of the pending operator file; throws if it is invalid
+    std::function<std::map<std::string, double>()> rooms;  // by zone, seconds of hosts' time a second
   };
-  // Throws std::runtime_error with what is wrong with the settings. `talk` must outlive it.
+  // Throws std::runtime_error if the settings are invalid. `membership` must outlive this object.
+  // `has_hosts`: whether the proxy has a list of hosts.
   OwnershipService(boost::asio::io_context& io, const Clock& clock, Log& log, Settings settings,
                    fleet_transport::MembershipService& membership, std::function<bool()> has_hosts);
   ~OwnershipService() override;
 
-  // `handed_on`: the process before this one has passed on its state in an upgrade.
-  void start(bool handed_on);
-  // An orderly end, recorded in storage: the next process need not wait for requests that were cut short.
+  // `handed_over`: the previous process has handed over its state in an upgrade.
+  void start(bool handed_over);
+  // Records a clean shutdown in storage, so that the next process need not wait for interrupted requests.
   void end();
-  // Sends nothing any more, since another process of this member has taken over, until resume().
+  // Stops sending until resume(), because another process of this member has taken over.
   void stop();
   void resume();
 
@@ -54,15 +55,15 @@
   void onRejectedByHost(Service service, std::uint32_t term) override;
   void onCompleted(const CompletedRequest& request) override { change_preview_->note(request, clock_.now()); }
 
-  // JSON: docs/ownership.md, docs/recovery.md.
+  // Pages for operators, in JSON: docs/ownership.md, docs/recovery.md.
   std::string page() const;
   std::string recoveryPage() const;
-  // Begins a preview on all members: what the pending operator file would do to recorded traffic. Returns
-  // what is wrong with that file; nothing: the preview has begun.
+  // Starts a preview on all members of what the pending operator file would do to recorded traffic. Returns
+  // the reason if that file can't be used, or std::nullopt if the preview has started.
   std::optional<std::string> beginChangePreview() { return change_preview_->begin(clock_.now()); }
   std::string changePreviewPage() const { return change_preview_->page(clock_.now()); }
-  // An operator makes a zone the owner of a service. Returns what that overrides; nothing: there is no such
-  // service or zone.
+  // Makes a zone the owner of a service by an operator's order. Returns a description of what this overrides,
+  // or std::nullopt if there is no such service or zone.
   std::optional<std::string> overrideOwner(const std::string& service, const std::string& zone);
 
  private:
@@ -81,13 +82,13 @@
   const Services services_;
   std::map<leases::SiteId, std::string> zones_;
   leases::Settings lease_settings_;
-  std::unique_ptr<storage::AsyncStore> store_;  // null: nothing is stored
+  std::unique_ptr<storage::AsyncStore> store_;  // null if no storage is configured
   std::unique_ptr<leases::Member> member_;
   std::unique_ptr<ChangePreviewCoordinator> change_preview_;
   recovery::Recovery recovery_;
   recovery::Stage stage_ = recovery::Stage::NoEndpoints;
   boost::asio::steady_timer observe_timer_, due_timer_;
-  Time armed_for_ = kNever, started_ = 0;
+  Time timer_due_ = kNever, started_ = 0;  // timer_due_: kNever if due_timer_ is not armed
   std::string storage_fault_;
   bool slow_logged_ = false, stopped_ = false;
 };
--- a/src/ownership/ownership_service.cpp
+++ b/src/ownership/ownership_service.cpp
@@ -14,13 +14,14 @@
 using nlohmann::ordered_json;
 
 constexpr std::chrono::milliseconds kObserveInterval{100};
-constexpr std::chrono::milliseconds kSlow{400};  // of one write to disk
-constexpr const char* kRunning = "running";
+constexpr std::chrono::milliseconds kSlowWrite{400};  // a longer write to disk is logged
+// Stored note: "1" while a process runs, "0" after a clean shutdown.
+constexpr const char* kRunningNote = "running";
 
-std::string dumped(const ordered_json& page) {
+std::string prettyPrinted(const ordered_json& page) {
   return page.dump(2, ' ', false, ordered_json::error_handler_t::replace);
 }
-// Whole milliseconds, in seconds.
+// In seconds, rounded down to whole milliseconds.
 double seconds(Time time) {
   const Time milliseconds = time / kMillisecond;
   return static_cast<double>(milliseconds) / 1000;
@@ -62,21 +63,21 @@
     throw std::runtime_error(std::string("services: ") + e.what());
   }
   ChangePreviewCoordinator::Environment environment;
-  environment.known = [this](leases::ServiceId id) { return member_->known(id); };
+  environment.known_grant = [this](leases::ServiceId id) { return member_->known(id); };
   environment.zone_of = [this](leases::SiteId site) { return zoneOf(site); };
-  environment.pending = settings_.pending;
-  environment.rooms = settings_.rooms;
-  environment.live = [this] { return member_->liveness().live; };
+  environment.load_pending = settings_.pending;
+  environment.zone_capacity = settings_.rooms;
+  environment.live_members = [this] { return member_->liveness().live; };
   environment.send = [this](std::uint16_t to, std::string bytes) { membership_.send(to, std::move(bytes)); };
   change_preview_ = std::make_unique<ChangePreviewCoordinator>(services_, settings_.own.services,
                                                                settings_.number, std::move(environment));
   if (settings_.own.memory.empty()) return;
   storage::AsyncStore::Callbacks callbacks;
   callbacks.written = [this](const storage::Change& change, bool ok) {
-    const auto* const kept = std::get_if<leases::StoredGrant>(&change);
-    if (kept == nullptr) return;
+    const auto* const grant = std::get_if<leases::StoredGrant>(&change);
+    if (grant == nullptr) return;
     leases::Output out;
-    member_->onStored(clock_.now(), *kept, ok, out);
+    member_->onStored(clock_.now(), *grant, ok, out);
     perform(out);
   };
   callbacks.fault_changed = [this](const std::string& fault) {
@@ -93,29 +94,30 @@
 
 OwnershipService::~OwnershipService() = default;
 
-void OwnershipService::start(bool handed_on) {
+void OwnershipService::start(bool handed_over) {
   const Time now = clock_.now();
   started_ = now;
-  recovery::PreviousRun before = recovery::PreviousRun::Unknown;
-  std::vector<leases::StoredGrant> remembered;
+  recovery::PreviousRun previous_run = recovery::PreviousRun::Unknown;
+  std::vector<leases::StoredGrant> stored;
   std::uint32_t installation = 0;
   if (store_ && store_->contents()) {
     const storage::Contents& contents = *store_->contents();
-    before = contents.fresh ? recovery::PreviousRun::None : recovery::PreviousRun::Clean;
+    previous_run = contents.fresh ? recovery::PreviousRun::None : recovery::PreviousRun::Clean;
     for (const storage::Note& note : contents.notes) {
-      if (note.name == kRunning && note.bytes == "1") before = recovery::PreviousRun::Interrupted;
+      if (note.name == kRunningNote && note.bytes == "1") previous_run = recovery::PreviousRun::Interrupted;
     }
-    remembered = contents.grants;
+    stored = contents.grants;
     installation = contents.installation;
-    store_->write(storage::Note{kRunning, "1"});
-    log_.line("storage loaded leases=" + std::to_string(remembered.size()) + " previous_run=" +
-              std::string(recovery::nameOf(handed_on ? recovery::PreviousRun::Clean : before)));
+    store_->write(storage::Note{kRunningNote, "1"});
+    log_.line("storage loaded leases=" + std::to_string(stored.size()) + " previous_run=" +
+              std::string(recovery::nameOf(handed_over ? recovery::PreviousRun::Clean : previous_run)));
   }
-  recovery_.start(now, handed_on ? recovery::PreviousRun::Clean : before);
-  member_->start(now, remembered, installation);
+  recovery_.start(now, handed_over ? recovery::PreviousRun::Clean : previous_run);
+  member_->start(now, stored, installation);
   membership_.onApplicationMessage([this](std::uint16_t from, std::string_view bytes) {
     if (stopped_) return;
-    if (ChangePreviewCoordinator::isMine(bytes)) return change_preview_->receive(clock_.now(), from, bytes);
+    if (ChangePreviewCoordinator::isPreviewMessage(bytes))
+      return change_preview_->receive(clock_.now(), from, bytes);
     leases::Output out;
     member_->receive(clock_.now(), from, bytes, out);
     perform(out);
@@ -124,7 +126,7 @@
 }
 
 void OwnershipService::end() {
-  if (store_) store_->write(storage::Note{kRunning, "0"});
+  if (store_) store_->write(storage::Note{kRunningNote, "0"});
 }
 
 void OwnershipService::stop() { stopped_ = true; }
@@ -132,7 +134,7 @@
   if (std::exchange(stopped_, false)) armTimer();
 }
 
-// ---- what the front asks ----
+// ---- ServiceGate, called by the front ----
 
 ServiceGate::Match OwnershipService::serviceOf(const RequestHead& head, std::string_view request_class,
                                                load_balancer::Idempotency idempotency) const {
@@ -177,7 +179,7 @@
   if (std::exchange(stage_, stage) != stage)
     log_.line("recovery stage changed stage=" + std::string(recovery::nameOf(stage)));
   if (store_) {
-    const bool slow = store_->busyFor() >= kSlow;
+    const bool slow = store_->busyFor() >= kSlowWrite;
     if (std::exchange(slow_logged_, slow) != slow)
       log_.line(slow ? "storage write slow duration_ms=" + std::to_string(store_->busyFor().count())
                      : "storage write completed",
@@ -193,12 +195,12 @@
 
 void OwnershipService::armTimer() {
   const Time due = stopped_ ? kNever : member_->due();
-  if (due == kNever || due >= armed_for_) return;
-  armed_for_ = due;
+  if (due == kNever || due >= timer_due_) return;
+  timer_due_ = due;
   due_timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, due - clock_.now())));
   due_timer_.async_wait([this](error_code ec) {
     if (ec) return;
-    armed_for_ = kNever;
+    timer_due_ = kNever;
     if (stopped_) return;
     leases::Output out;
     member_->onTime(clock_.now(), out);
@@ -209,7 +211,8 @@
 void OwnershipService::store(const leases::StoredGrant& grant) {
   leases::Output out;
   if (!store_) {
-    member_->onStored(clock_.now(), grant, true, out);  // nothing is stored: it lasts as long as this process
+    // Without storage a promise lasts as long as this process.
+    member_->onStored(clock_.now(), grant, true, out);
   } else if (!store_->write(grant)) {
     member_->onStored(clock_.now(), grant, false, out);
   }
@@ -268,7 +271,7 @@
     }
     services.push_back(std::move(one));
   }
-  ordered_json wrong = ordered_json::array();
+  ordered_json conflicts = ordered_json::array();
   for (const leases::Conflict& conflict : member_->conflicts().all()) {
     const leases::Resolution& resolution = leases::resolutionOf(conflict.kind);
     std::string service;
@@ -287,35 +290,35 @@
     one["stands_down"] = resolution.yielding_party;
     one["meanwhile"] = resolution.served_meanwhile;
     one["ends"] = resolution.ends_when;
-    wrong.push_back(std::move(one));
+    conflicts.push_back(std::move(one));
   }
-  return dumped({{"member", settings_.number},
-                 {"keeps", member_->isSiteLeader()},
-                 {"lease_s", seconds(lease_settings_.lease)},
-                 {"owed_s", seconds(lease_settings_.drainTime())},
-                 {"services", services},
-                 {"wrong_claims", wrong}});
+  return prettyPrinted({{"member", settings_.number},
+                        {"keeps", member_->isSiteLeader()},
+                        {"lease_s", seconds(lease_settings_.lease)},
+                        {"owed_s", seconds(lease_settings_.drainTime())},
+                        {"services", services},
+                        {"wrong_claims", conflicts}});
 }
 
 std::string OwnershipService::recoveryPage() const {
   const Time now = clock_.now();
-  const recovery::Facts known = facts();
+  const recovery::Facts current_facts = facts();
   ordered_json waits = ordered_json::array();
-  for (const recovery::Wait& wait : recovery_.waits(now, known)) {
+  for (const recovery::Wait& wait : recovery_.waits(now, current_facts)) {
     ordered_json one = {{"not_served", wait.what}, {"until", wait.until}};
     if (wait.time > 0) one["s"] = seconds(wait.time);
     waits.push_back(std::move(one));
   }
   ordered_json memory = {{"used", store_ && store_->contents().has_value()}, {"fault", storage_fault_}};
   if (store_) memory["syncs"] = store_->syncs();
-  return dumped({{"stage", recovery::nameOf(recovery_.stage(now, known))},
-                 {"process_before", recovery::nameOf(recovery_.before())},
-                 {"for_s", seconds(now - started_)},
-                 {"heard", known.heard_of},
-                 {"majority", known.majority},
-                 {"may_promise", known.heard},
-                 {"memory", memory},
-                 {"waits", waits}});
+  return prettyPrinted({{"stage", recovery::nameOf(recovery_.stage(now, current_facts))},
+                        {"process_before", recovery::nameOf(recovery_.before())},
+                        {"for_s", seconds(now - started_)},
+                        {"heard", current_facts.heard_of},
+                        {"majority", current_facts.majority},
+                        {"may_promise", current_facts.heard},
+                        {"memory", memory},
+                        {"waits", waits}});
 }
 
 std::optional<std::string> OwnershipService::overrideOwner(const std::string& service,
