--- a/rig/hollow_clients.cpp
+++ b/rig/hollow_clients.cpp
@@ -36,7 +36,7 @@
     settings.number = context.fleet.number;
     settings.longest_deadline = context.plan.longest_deadline;
     settings.pending = [] { return ServiceSettings{}; };
-    settings.rooms = [] { return std::map<std::string, double>{}; };
+    settings.zone_capacity = [] { return std::map<std::string, double>{}; };
     return settings;
   }
 
--- a/src/daemon/serve.cpp
+++ b/src/daemon/serve.cpp
@@ -324,7 +324,7 @@
       s.priority_weight[class_names_[i]] = c.priority_weight;
     }
     s.pending = [this] { return source_.pendingServices(); };
-    s.rooms = [this] { return proxy_.zoneRooms(); };
+    s.zone_capacity = [this] { return proxy_.zoneRooms(); };
     ownership_ = std::make_unique<ownership::OwnershipService>(io_, clock_, log_, std::move(s), *membership_,
                                                                [this] { return proxy_.canServe(); });
     proxy_.setGate(ownership_.get());
--- a/src/ownership/include/ownership/ownership_service.h
+++ b/src/ownership/include/ownership/ownership_service.h
@@ -32,7 +32,7 @@
     Time longest_deadline = 0, longest_window = 0;  // of requests and of deduplication, over all classes
     std::map<std::string, double, std::less<>> priority_weight;  // by class
     std::function<ServiceSettings()> pending;  // of the pending operator file; throws if it is invalid
-    std::function<std::map<std::string, double>()> rooms;  // by zone, seconds of hosts' time a second
+    std::function<std::map<std::string, double>()> zone_capacity;  // by zone, seconds of hosts' time a second
   };
   // Throws std::runtime_error if the settings are invalid. `membership` must outlive this object.
   // `has_hosts`: whether the proxy has a list of hosts.
--- a/src/ownership/ownership_service.cpp
+++ b/src/ownership/ownership_service.cpp
@@ -66,7 +66,7 @@
   environment.known_grant = [this](leases::ServiceId id) { return member_->known(id); };
   environment.zone_of = [this](leases::SiteId site) { return zoneOf(site); };
   environment.load_pending = settings_.pending;
-  environment.zone_capacity = settings_.rooms;
+  environment.zone_capacity = settings_.zone_capacity;
   environment.live_members = [this] { return member_->liveness().live; };
   environment.send = [this](std::uint16_t to, std::string bytes) { membership_.send(to, std::move(bytes)); };
   change_preview_ = std::make_unique<ChangePreviewCoordinator>(services_, settings_.own.services,
