--- a/tests/change_preview_coordinator_test.cpp
+++ b/tests/change_preview_coordinator_test.cpp
@@ -1,4 +1,5 @@
-// What members tell of a rehearsal in pieces comes together as it was, or not at all.
+// Encoding of a change preview's totals: the pieces that members exchange decode to the same totals or are
+// rejected.
 #include "ownership/change_preview_coordinator.h"
 
 #include <gtest/gtest.h>
@@ -8,28 +9,28 @@
 namespace client_proxy::ownership {
 namespace {
 
-TEST(RehearsingPieces, ComeTogetherAsTheyWereAndWhatIsMalformedDoesNot) {
-  change_preview::PreviewTotals t;
-  t.all = 1000.5, t.squares = 3, t.keys_split = 7, t.members = 3, t.seconds = 12;
-  for (int i = 0; i < 30; ++i) t.routes["service/route " + std::to_string(i)] = i;
-  t.work = {{"a", 0.5}, {"zone b", 7}};
-  const std::vector<std::string> pieces = encodeToPieces(t, 180);
+TEST(RehearsingPieces, TotalsRoundTripAndIncompleteOrMalformedPiecesAreRejected) {
+  change_preview::PreviewTotals totals;
+  totals.all = 1000.5, totals.squares = 3, totals.keys_split = 7, totals.members = 3, totals.seconds = 12;
+  for (int i = 0; i < 30; ++i) totals.routes["service/route " + std::to_string(i)] = i;
+  totals.work = {{"a", 0.5}, {"zone b", 7}};
+  const std::vector<std::string> pieces = encodeToPieces(totals, 180);
   EXPECT_GT(pieces.size(), 3U);
-  for (const std::string& p : pieces) EXPECT_LE(p.size(), 180U);
-  const auto again = decodeTotals(pieces);
-  ASSERT_TRUE(again.has_value());
-  EXPECT_EQ(*again, t);
-  for (std::size_t without = 0; without < pieces.size(); ++without) {
-    std::vector<std::string> some = pieces;
-    some.erase(some.begin() + static_cast<std::ptrdiff_t>(without));
-    EXPECT_FALSE(decodeTotals(some).has_value() && *decodeTotals(some) == t) << without;
+  for (const std::string& piece : pieces) EXPECT_LE(piece.size(), 180U);
+  const auto decoded = decodeTotals(pieces);
+  ASSERT_TRUE(decoded.has_value());
+  EXPECT_EQ(*decoded, totals);
+  for (std::size_t missing = 0; missing < pieces.size(); ++missing) {
+    std::vector<std::string> incomplete = pieces;
+    incomplete.erase(incomplete.begin() + static_cast<std::ptrdiff_t>(missing));
+    EXPECT_FALSE(decodeTotals(incomplete).has_value() && *decodeTotals(incomplete) == totals) << missing;
   }
   load_balancer::Random random(3);
   for (int i = 0; i < 3000; ++i) {
-    std::string any(random.below(200), '\0');
-    for (char& c : any) c = static_cast<char>(random.next());
-    if (const auto read = decodeTotals({any})) {
-      EXPECT_GE(read->all, 0);
+    std::string random_bytes(random.below(200), '\0');
+    for (char& c : random_bytes) c = static_cast<char>(random.next());
+    if (const auto from_random = decodeTotals({random_bytes})) {
+      EXPECT_GE(from_random->all, 0);
     }
   }
 }
