--- a/src/leases/conflict_detection.cpp
+++ b/src/leases/conflict_detection.cpp
@@ -36,6 +36,7 @@
   const Grant current = voter_.known(entry.service);
   Conflict conflict{.service = entry.service, .claimant = from, .claim = entry.grant, .known = current};
   if (current.term > entry.grant.term) {
+    // Entry::granted of a Renew marks grants that the claimant has from its storage only.
     conflict.kind = entry.granted ? ConflictKind::Stale : ConflictKind::ExpiredLease;
   } else if (current.term == entry.grant.term && current.site != entry.grant.site) {
     const bool overrides =
--- a/src/leases/include/leases/conflicts.h
+++ b/src/leases/include/leases/conflicts.h
@@ -27,6 +27,7 @@
   return kNames[static_cast<std::size_t>(kind)];
 }
 
+// A claim that contradicts what is known, with how often and when it was made.
 struct Conflict {
   ConflictKind kind = ConflictKind::Stale;
   ServiceId service = 0;   // 0: all services
--- a/src/leases/include/leases/lease_holder.h
+++ b/src/leases/include/leases/lease_holder.h
@@ -11,6 +11,7 @@
 
 namespace client_proxy::leases {
 
+// A lease of the site, or a grant that a quorum has yet to confirm.
 struct Lease {
   Grant grant;
   Time expires_at = fleet::kLongAgo;  // until when a quorum has promised it
--- a/src/leases/include/leases/types.h
+++ b/src/leases/include/leases/types.h
@@ -41,6 +41,7 @@
   return kNames[static_cast<std::size_t>(reason)];
 }
 
+// The assignment of a service to a site under a term.
 struct Grant {
   Term term = 0;
   SiteId site = kNoSite;
--- a/src/leases/include/leases/wire.h
+++ b/src/leases/include/leases/wire.h
@@ -21,6 +21,7 @@
   LeaseReply,  // those leases, in parts
 };
 
+// The part of a message that concerns one service.
 struct Entry {
   ServiceId service = 0;
   Grant grant;
