--- a/src/zone_health/traffic_plan.cpp
+++ b/src/zone_health/traffic_plan.cpp
@@ -8,19 +8,21 @@
 namespace client_proxy::zone_health {
 namespace {
 
-constexpr double kMaxExcess = 0.25;   // of a zone's even part, near traffic may add to it
+// Upper bound on what a zone may receive beyond its even part of the demand, as a fraction of that part.
+constexpr double kMaxExcess = 0.25;
 constexpr double kNegligible = 1e-9;  // requests a second
 
 double sum(const std::vector<double>& all) { return std::accumulate(all.begin(), all.end(), 0.0); }
 
-// Spreads what is left of each zone's demand over the spare room of those zones that `reaches` allows: all
-// zones by the same part of what they lack, each taker by its spare room.
+// Moves what is left of each zone's demand to the spare capacity of the zones that `reaches` allows. A zone's
+// remaining demand is split over its targets by their spare capacity; where more is
+// demanded of a target than that, it takes the same fraction of the demand of each zone.
 template <typename Reaches>
 void distribute(std::vector<double>& left, std::vector<double>& spare, std::vector<std::vector<double>>& sent,
                 Reaches reaches) {
   const std::size_t n = left.size();
   const std::vector<double> spare_before = spare, overflow_before = left;
-  // A taker's askers, weighed by what they lack; it gives each its part of the spare room.
+  // [from][to] the load that zone `from` would move to zone `to`, and its sum by target.
   std::vector<std::vector<double>> demanded(n, std::vector<double>(n, 0));
   std::vector<double> demanded_of(n, 0);
   for (std::size_t from = 0; from < n; ++from) {
@@ -53,7 +55,7 @@
     demand += z.demand;
     capacity += z.open ? z.capacity : 0;
   }
-  demand = std::max(demand, kNegligible);  // an idle fleet has a plan too
+  demand = std::max(demand, kNegligible);  // an idle fleet also needs a plan
   std::vector<double> capacities(zones.size(), 0);
   for (std::size_t i = 0; i < zones.size(); ++i) {
     const ZoneLoad& z = zones[i];
@@ -71,27 +73,28 @@
   std::vector<std::vector<double>> sent(n, std::vector<double>(n, 0));
   double all = 0;
   for (const ZoneLoad& z : zones) all += z.demand;
-  // A trace of demand everywhere, so that every row is a plan.
+  // A negligible demand is added to every zone, so that the row of a zone without demand is defined as well.
   const double trace = std::max(all, kNegligible) * 1e-6;
   for (std::size_t i = 0; i < n; ++i) left[i] = zones[i].demand + trace;
   const std::vector<double> demand = left;
 
   for (std::size_t i = 0; i < n; ++i) {
-    const double near = std::min(left[i], spare[i]);
-    sent[i][i] = near, left[i] -= near, spare[i] -= near;
+    const double local = std::min(left[i], spare[i]);
+    sent[i][i] = local, left[i] -= local, spare[i] -= local;
   }
   const auto same_region = [&](std::size_t a, std::size_t b) {
     return a != b && !zones[a].region.empty() && zones[a].region == zones[b].region;
   };
   distribute(left, spare, sent, same_region);
-  // Spare room is not the same for all any more: a second time finds what the first left.
+  // One pass can leave both demand and spare capacity, since a zone splits its demand before the targets
+  // limit it; a second pass places the remainder.
   distribute(left, spare, sent, same_region);
   for (int i = 0; i < 2; ++i) distribute(left, spare, sent, [](std::size_t, std::size_t) { return true; });
 
   TrafficPlan plan;
   const double total_capacity = sum(capacities);
   for (std::size_t from = 0; from < n; ++from) {
-    if (left[from] <= 1e-9 * demand[from]) continue;  // rounding
+    if (left[from] <= 1e-9 * demand[from]) continue;  // a rounding error
     if (zones[from].demand > 0) plan.overflow += left[from];
     for (std::size_t to = 0; to < n && total_capacity > 0; ++to)
       sent[from][to] += left[from] * capacities[to] / total_capacity;
@@ -108,10 +111,11 @@
   return plan;
 }
 
-const std::vector<double>& GradualShift::follow(const std::vector<double>& target,
-                                                const std::vector<bool>& open, double seconds) {
+const std::vector<double>& GradualShift::approach(const std::vector<double>& target,
+                                                  const std::vector<bool>& open, double seconds) {
   if (row_.size() != target.size()) return row_ = target;
-  // What is closed now goes to the others as they stand, or as they are wanted where they have nothing.
+  // The traffic of closed zones moves to the others in proportion to their current shares, or by the target
+  // where they have none.
   double closed = 0, rest = 0;
   for (std::size_t i = 0; i < row_.size(); ++i) {
     if (open[i])
@@ -125,9 +129,9 @@
   }
   double distance = 0;
   for (std::size_t i = 0; i < row_.size(); ++i) distance += std::abs(target[i] - row_[i]) / 2;
-  moving_ = distance > (moving_ ? kClose : kNoise);
+  moving_ = distance > (moving_ ? kDoneDifference : kMinDifference);
   if (!moving_) return row_;
-  const double part = std::min(1.0, kStep * std::max(0.0, seconds) / distance);
+  const double part = std::min(1.0, kMaxShiftPerSecond * std::max(0.0, seconds) / distance);
   for (std::size_t i = 0; i < row_.size(); ++i) row_[i] += part * (target[i] - row_[i]);
   return row_;
 }
--- a/src/zone_health/zone_health_quorum.cpp
+++ b/src/zone_health/zone_health_quorum.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kHealthCheckers = 3;  // members that check the hosts of a zone that is down
 
-// Between 0 and 1, the same at all members: chooses some of them without coordination.
+// A number from 0 to 1 that is the same at all members: they choose some among them without coordination.
 double uniformHash(std::size_t zone, std::uint16_t epoch, Number member) {
   const std::uint64_t seed = std::uint64_t{zone} << 32 | std::uint64_t{epoch} << 16 | member;
   return load_balancer::Random(seed).unit();
@@ -21,7 +21,7 @@
 }  // namespace
 
 bool ZoneStatus::supersedes(const ZoneStatus& other) const {
-  // Serial number arithmetic (RFC 1982): what is less than half the range ahead is later.
+  // Serial number arithmetic (RFC 1982): an epoch less than half the range ahead is the later one.
   const auto ahead = static_cast<std::int16_t>(static_cast<std::uint16_t>(epoch - other.epoch));
   return ahead != 0 ? ahead > 0 : state > other.state;
 }
@@ -30,9 +30,9 @@
     : rules_(rules), own_(own), own_observations_(zones, ZoneObservation::None), zones_(zones) {}
 
 load_balancer::ZoneObservedSince ZoneHealthQuorum::since(std::size_t zone) const {
-  const Zone& asked = zones_[zone];
-  if (asked.status.state != ZoneState::Up) return {asked.since, asked.since};
-  if (suspected(asked)) return {asked.suspected_since, fleet::kLongAgo};
+  const Zone& queried = zones_[zone];
+  if (queried.status.state != ZoneState::Up) return {queried.since, queried.since};
+  if (suspected(queried)) return {queried.suspected_since, fleet::kLongAgo};
   Time latest = fleet::kLongAgo;
   for (const Zone& z : zones_) {
     if (suspected(z)) latest = std::max(latest, z.suspected_since);
@@ -50,8 +50,9 @@
   return other_zones > 1;
 }
 
-// Reports of a zone's own members do not count: from inside, a zone that is partitioned looks healthy. Once
-// its state has changed only members that know of the change count: others report the time before.
+// Reports of a zone's own members do not count: from inside, a zone that is partitioned looks healthy. While
+// the zone is not up, only members that have adopted its status count: the others still report observations
+// made before the change.
 void ZoneHealthQuorum::countReports(Time now, std::size_t zone, const std::vector<ObserverReport>& reports) {
   Zone& z = zones_[zone];
   const bool before = z.unresponsive_reports > 0;
@@ -74,7 +75,8 @@
   if (z.unresponsive_reports > 0 && !before) beginComparison(now, zone);
 }
 
-// What this member observed until now responded to what was sent before the suspicion.
+// Responses that this member has observed until now were to requests sent before the suspicion, so they don't
+// count in the comparison, unless the zone that responded is under suspicion itself.
 void ZoneHealthQuorum::beginComparison(Time now, std::size_t zone) {
   Zone& z = zones_[zone];
   z.suspected_since = now;
@@ -94,7 +96,7 @@
   z.comparison_done_at = now;
 }
 
-// All zones that are up and not suspected; so a second zone that is down delays nothing.
+// Considers only zones that are up and not suspected, so that a second zone that is down causes no delay.
 bool ZoneHealthQuorum::othersRespond(std::size_t zone) const {
   for (std::size_t other = 0; other < zones_.size(); ++other) {
     const Zone& z = zones_[other];
@@ -105,12 +107,13 @@
 }
 
 std::size_t ZoneHealthQuorum::quorumSize(const Zone& z) const {
-  // Few members send to a zone that recovers, so few can report.
+  // Few members send traffic to a recovering zone, so few can report.
   const std::size_t part = z.status.state == ZoneState::Up ? z.observers / rules_.members_per_observer : 0;
   return std::min(std::clamp(part, rules_.min_observers, rules_.max_observers), z.observers);
 }
 
-// Of a zone that is down nobody has responses; of one that is overloaded, or has lost some hosts, many have.
+// No member receives responses from a zone that is down; many do from one that is overloaded or has lost some
+// hosts.
 bool ZoneHealthQuorum::unopposed(const Zone& z) const {
   return z.unresponsive_reports > 0 &&
          z.unresponsive_reports >= rules_.objection_weight * z.responding_reports;
@@ -122,11 +125,12 @@
          z.reporting_zones >= std::min<std::size_t>(2, z.other_zones);
 }
 
-// The load of a zone that went down moves to the others: what is observed of them then is no reason to
-// declare one more down. If two go down at once, each client finds the second by its own attempts.
-bool ZoneHealthQuorum::othersStable(Time now, const Zone& but) const {
+// The load of a zone that went down moves to the others, so observations made in the settle time are no
+// reason to declare another one down. If two zones fail at once, each client detects the second by its own
+// attempts.
+bool ZoneHealthQuorum::othersStable(Time now, const Zone& except) const {
   return std::all_of(zones_.begin(), zones_.end(), [&](const Zone& z) {
-    return &z == &but || (z.status.state == ZoneState::Up && now - z.declared_at >= rules_.settle_time);
+    return &z == &except || (z.status.state == ZoneState::Up && now - z.declared_at >= rules_.settle_time);
   });
 }
 
@@ -137,7 +141,7 @@
   if (status.state == was) return;
   zone.declared_at = now;
   if (status.state == ZoneState::Down) {
-    // Exponential backoff of a zone that flaps.
+    // Exponential backoff for a zone that flaps.
     const bool was_steady = was == ZoneState::Up && up_before_suspicion >= rules_.flap_reset_after;
     zone.flaps = was_steady ? 1 : zone.flaps + 1;
     const auto doubled = std::min<std::uint32_t>(zone.flaps - 1, 10);
@@ -168,21 +172,21 @@
     default:
       break;
   }
-  const bool suspicion_timeout = unopposed(z);
+  const bool suspected_now = unopposed(z);
   const Time wait =
       rules_.suspicion_timeout + rules_.suspicion_timeout_per_doubling *
                                      static_cast<Time>(std::bit_width(static_cast<unsigned>(z.observers)));
-  if (suspicion_timeout != z.suspected_now) {
-    if (suspicion_timeout) z.up_before_suspicion = age;
-    z.suspected_now = suspicion_timeout;
+  if (suspected_now != z.suspected_now) {
+    if (suspected_now) z.up_before_suspicion = age;
+    z.suspected_now = suspected_now;
     z.since = now;
-  } else if (suspicion_timeout && age >= wait && z.comparison_done && now - z.comparison_done_at >= wait &&
+  } else if (suspected_now && age >= wait && z.comparison_done && now - z.comparison_done_at >= wait &&
              quorumReached(z) && othersStable(now, z)) {
     declare(now, z, ZoneState::Down);
   }
 }
 
-bool ZoneHealthQuorum::evaluate(Time now, const std::vector<ObserverReport>& reports, bool sure) {
+bool ZoneHealthQuorum::evaluate(Time now, const std::vector<ObserverReport>& reports, bool view_complete) {
   bool changed = false;
   for (std::size_t zone = 0; zone < zones_.size(); ++zone) {
     Zone& z = zones_[zone];
@@ -192,9 +196,9 @@
     }
     countReports(now, zone, reports);
     compare(now, zone);
-    if (sure && !isolated()) advance(now, z);
+    if (view_complete && !isolated()) advance(now, z);
     if (z.status.state != before.state)
-      own_observations_[zone] = ZoneObservation::None;  // observed before the change
+      own_observations_[zone] = ZoneObservation::None;  // it was made before the change
     changed = changed || !(z.status == before);
   }
   for (std::size_t zone = 0; zone < zones_.size(); ++zone) zones_[zone].reported = worthReporting(zone);
@@ -237,24 +241,25 @@
                                       static_cast<std::ptrdiff_t>(zone);
 }
 
-// Suppresses reports that settle nothing, since hundreds of equal ones would fill the fleet's datagrams: as
-// many members report an unresponsive zone as make a quorum and some more, as many report responses as
-// outweigh them. Of a zone that is down only responses are news; of one that nobody suspects none are.
+// Suppresses reports that cannot affect the result, since hundreds of equal ones would fill the fleet's
+// datagrams: a zone is reported unresponsive by a quorum and a few more members, and responding by as many as
+// outweigh those. For a zone that is down only responses are reported, for one that is up and not suspected
+// nothing is.
 ZoneObservation ZoneHealthQuorum::worthReporting(std::size_t zone) const {
   const Zone& z = zones_[zone];
-  const ZoneObservation seen = own_observations_[zone];
-  if (zone == own_ || seen == ZoneObservation::None || isolated()) return ZoneObservation::None;
+  const ZoneObservation observed = own_observations_[zone];
+  if (zone == own_ || observed == ZoneObservation::None || isolated()) return ZoneObservation::None;
   const ZoneState state = z.status.state;
-  if (seen == ZoneObservation::Unresponsive) {
+  if (observed == ZoneObservation::Unresponsive) {
     if (state == ZoneState::Down) return ZoneObservation::None;
-    return z.reported == seen || z.unresponsive_reports < quorumSize(z) + rules_.min_observers
-               ? seen
+    return z.reported == observed || z.unresponsive_reports < quorumSize(z) + rules_.min_observers
+               ? observed
                : ZoneObservation::None;
   }
   if (state == ZoneState::Up && z.unresponsive_reports == 0) return ZoneObservation::None;
-  return z.reported == seen || z.responding_reports <
-                                   rules_.min_observers + 2 * z.unresponsive_reports / rules_.objection_weight
-             ? seen
+  return z.reported == observed || z.responding_reports < rules_.min_observers + 2 * z.unresponsive_reports /
+                                                                                     rules_.objection_weight
+             ? observed
              : ZoneObservation::None;
 }
 
--- a/src/zone_health/zone_report.cpp
+++ b/src/zone_health/zone_report.cpp
@@ -5,9 +5,9 @@
 namespace client_proxy::zone_health {
 namespace {
 
-constexpr std::size_t kEntrySize = 5;  // hash 2, epoch 2, state and observation 1
+constexpr std::size_t kEntrySize = 5;  // bytes: hash 2, epoch 2, state and observation 1
 
-// The same at all members.
+// A zone's identifier in an entry, the same at all members.
 std::uint16_t hashOf(std::string_view name) { return load_balancer::folded(load_balancer::fnv32(name)); }
 
 std::uint16_t readUint16(std::string_view bytes, std::size_t at) {
@@ -19,7 +19,7 @@
 
 std::string encode(const std::vector<std::string>& names, const ZoneReport& reported) {
   std::string bytes;
-  for (std::size_t z = 0; z < names.size() && bytes.size() < kMostZones * kEntrySize; ++z) {
+  for (std::size_t z = 0; z < names.size() && bytes.size() < kMaxZones * kEntrySize; ++z) {
     const ZoneStatus& status = reported.statuses[z];
     if (status.epoch == 0 && reported.seen[z] == ZoneObservation::None) continue;
     const std::uint16_t hash = hashOf(names[z]);
--- a/src/zone_observations/include/zone_observations/zone_observations.h
+++ b/src/zone_observations/include/zone_observations/zone_observations.h
@@ -1,5 +1,5 @@
-// What one client has observed of zones by its own attempts: which respond, and which are unresponsive as a
-// whole. No I/O, no clock.
+// What one client has observed of zones by its own attempts and health checks: which zones respond, and which
+// are unresponsive as a whole. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -18,32 +18,32 @@
  public:
   using Time = std::int64_t;  // microseconds, of any steady clock
 
-  // A response is evidence for so long.
+  // A response counts as evidence for this long.
   static constexpr Time kResponseLifetime = 3'000'000;
-  // No response is evidence for longer, since a client that observed it goes there seldom. Any response ends
-  // it.
+  // A missing response counts for longer, since a client that observed one rarely sends to the zone. Any
+  // response to a later request invalidates it.
   static constexpr Time kNoResponseLifetime = 10'000'000;
 
   // A host of the zone has responded to an attempt that was sent at `sent`.
   void recordResponse(std::int32_t zone, Time sent, Time now);
   // A host of the zone has not responded to an attempt that was sent at `sent`. Returns whether the zone is
-  // unresponsive: two of its hosts are, and none of it has responded since, while other zones have. Found out
-  // host by host, a lost zone would cost every client some requests for each.
+  // unresponsive: two of its hosts are, and none of the zone has responded since, while other zones have. If
+  // the failure of a zone were detected host by host, it would cost every client some requests for each host.
   bool recordNoResponse(std::int32_t zone, std::string_view host, Time sent);
-  // One of its hosts has not responded, and none has since.
+  // A host of the zone has not responded, and none has since.
   bool suspected(std::int32_t zone) const;
 
-  // The same for what is reported to the fleet. `unreachable`: no connection came up, or a health check
-  // failed. Neither is load: a machine's kernel accepts connections, and a host answers health checks,
-  // however busy.
+  // Records a missing response for the report to the fleet. `unreachable`: no connection was established, or
+  // a health check failed. Load is the cause of neither: a machine's kernel accepts connections, and a host
+  // answers health checks, however busy it is.
   void recordForReport(std::int32_t zone, std::string_view host, Time sent, Time now, bool unreachable);
-  // What is reported to the fleet. Responding: a response came lately and not before `since`. Unresponsive:
-  // two hosts of the zone are, one of them unreachable, and nothing has responded to what was sent since the
-  // first of them was tried, which was not before `since`. Late responses alone count for nothing: in an
-  // overload all clients see them.
+  // The report to the fleet. Responding: a response was received within kResponseLifetime and not before
+  // `since`. Unresponsive: two hosts of the zone have not responded, one of them is unreachable, and no host
+  // has responded to a request sent after the first request of these that failed, which was not sent before
+  // `since`. Late responses alone are no evidence: in an overload all clients observe them.
   ZoneObservation report(std::int32_t zone, Time now, const load_balancer::ZoneObservedSince& since) const;
 
-  // The fleet holds the zone to be up again: earlier observations are void.
+  // Discards the observations of a zone that the fleet has declared up again.
   void forget(std::int32_t zone) { zones_.erase(zone); }
 
  private:
@@ -51,7 +51,8 @@
   struct Zone {
     Time last_response = kNever;
     std::string suspect;  // the first unresponsive host since the last response; empty: none
-    // As it is reported: the first unresponsive host, when that was tried, and when it happened last.
+    // For the report: the first unresponsive host, when the request to it was sent, and when a response was
+    // last missing.
     std::string reported_suspect;
     Time first_sent = kNever, no_response_at = kNever;
     bool second_suspect = false, unreachable = false;
@@ -65,14 +66,14 @@
   Zone& z = zones_[zone];
   z.last_response = now;
   z.suspect.clear();
-  if (sent < z.first_sent) return;  // it was sent before and contradicts nothing
+  if (sent < z.first_sent) return;  // sent before the first failure, so it does not contradict that
   z.reported_suspect.clear();
   z.second_suspect = z.unreachable = false;
 }
 
 inline bool ZoneObservations::recordNoResponse(std::int32_t zone, std::string_view host, Time sent) {
   Zone& z = zones_[zone];
-  // Where no zone responds the fault may be this client's.
+  // If no zone has responded since, the fault may be this client's.
   if (z.last_response >= sent || last_response_ < sent) return false;
   if (z.suspect.empty()) z.suspect = host;
   return z.suspect != host;
--- a/tests/zone_health_test.cpp
+++ b/tests/zone_health_test.cpp
@@ -83,12 +83,12 @@
 TEST(SteeringTest, MovesByBoundedStepsIgnoresNoiseAndLeavesWhatIsClosedAtOnce) {
   GradualShift s;
   const std::vector<bool> open(2, true);
-  s.follow({1, 0}, open, 0);
-  EXPECT_EQ(s.follow({0.99, 0.01}, open, 10)[0], 1) << "noise";
-  EXPECT_NEAR(s.follow({0.5, 0.5}, open, 1)[0], 0.9, 1e-9);
-  EXPECT_NEAR(s.follow({0.5, 0.5}, open, 1)[0], 0.8, 1e-9);
-  EXPECT_NEAR(s.follow({0.5, 0.5}, open, 60)[0], 0.5, 1e-9);
-  EXPECT_EQ(s.follow({0, 1}, {false, true}, 0)[0], 0);
+  s.approach({1, 0}, open, 0);
+  EXPECT_EQ(s.approach({0.99, 0.01}, open, 10)[0], 1) << "noise";
+  EXPECT_NEAR(s.approach({0.5, 0.5}, open, 1)[0], 0.9, 1e-9);
+  EXPECT_NEAR(s.approach({0.5, 0.5}, open, 1)[0], 0.8, 1e-9);
+  EXPECT_NEAR(s.approach({0.5, 0.5}, open, 60)[0], 0.5, 1e-9);
+  EXPECT_EQ(s.approach({0, 1}, {false, true}, 0)[0], 0);
 }
 
 // ---- verdicts ----
