--- a/src/ownership/ownership_service.cpp
+++ b/src/ownership/ownership_service.cpp
@@ -229,9 +229,9 @@
 recovery::Facts OwnershipService::facts() const {
   const Time now = clock_.now();
   recovery::Facts facts;
-  facts.listed = has_hosts_();
-  facts.heard = member_->synchronized(now);
-  facts.heard_of = member_->synchronizedMembers();
+  facts.has_hosts = has_hosts_();
+  facts.synchronized = member_->synchronized(now);
+  facts.synchronized_members = member_->synchronizedMembers();
   facts.majority = member_->voters().majority();
   for (const ServiceSetting& service : settings_.own.services) {
     double priority_weight = 0;
@@ -311,9 +311,9 @@
   return dumped({{"stage", recovery::nameOf(recovery_.stage(now, known))},
                  {"process_before", recovery::nameOf(recovery_.before())},
                  {"for_s", seconds(now - started_)},
-                 {"heard", known.heard_of},
+                 {"heard", known.synchronized_members},
                  {"majority", known.majority},
-                 {"may_promise", known.heard},
+                 {"may_promise", known.synchronized},
                  {"memory", memory},
                  {"waits", waits}});
 }
--- a/src/recovery/include/recovery/recovery.h
+++ b/src/recovery/include/recovery/recovery.h
@@ -44,9 +44,9 @@
 
 // What is known at a moment.
 struct Facts {
-  bool listed = false;  // there are hosts
-  bool heard = false;   // a majority, and what was promised before has run out
-  std::size_t heard_of = 0, majority = 0;
+  bool has_hosts = false;     // there are hosts
+  bool synchronized = false;  // a majority, and what was promised before has run out
+  std::size_t synchronized_members = 0, majority = 0;
   struct Service {
     std::string name;
     leases::Permit permit;
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -17,8 +17,8 @@
 }
 
 Stage Recovery::stage(Time now, const Facts& f) const {
-  if (!f.listed) return Stage::NoEndpoints;
-  if (!f.heard && !f.services.empty()) return Stage::IdempotentOnly;
+  if (!f.has_hosts) return Stage::NoEndpoints;
+  if (!f.synchronized && !f.services.empty()) return Stage::IdempotentOnly;
   const bool all = std::all_of(f.services.begin(), f.services.end(), [](auto& s) { return s.permit.ok(); });
   if (!all) return Stage::QuorumReached;
   return fenceLeft(now) > 0 ? Stage::IdempotencyKeys : Stage::FullService;
@@ -38,10 +38,10 @@
 
 std::vector<Wait> Recovery::waits(Time now, const Facts& f) const {
   std::vector<Wait> all;
-  if (!f.listed) all.push_back({"everything", "a list of hosts"});
-  if (!f.heard && !f.services.empty())
+  if (!f.has_hosts) all.push_back({"everything", "a list of hosts"});
+  if (!f.synchronized && !f.services.empty())
     all.push_back({"promises", "the word of " + std::to_string(f.majority) + " others, " +
-                                   std::to_string(f.heard_of) +
+                                   std::to_string(f.synchronized_members) +
                                    " have told, and the end of what was promised"});
   std::vector<const Facts::Service*> order;
   for (const Facts::Service& s : f.services) order.push_back(&s);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -20,7 +20,7 @@
 }
 Facts facts(leases::Denial bar) {
   Facts f;
-  f.listed = f.heard = true;
+  f.has_hosts = f.synchronized = true;
   f.services = {{"charges", {bar, 1, 1, bar == leases::Denial::Draining ? kSecond : 0}, 2},
                 {"reservations", {leases::Denial::None, 1, 1, 0}, 5}};
   return f;
@@ -33,9 +33,9 @@
   f.services = {{"charges", {}, 1}};
   const Time late = 1000 * kSecond;
   EXPECT_EQ(r.stage(late, f), Stage::NoEndpoints);
-  f.listed = true;
+  f.has_hosts = true;
   EXPECT_EQ(r.stage(late, f), Stage::IdempotentOnly) << "however long it has been there";
-  f.heard = true;
+  f.synchronized = true;
   EXPECT_EQ(r.stage(late, f), Stage::QuorumReached);
   f.services[0].permit.denial = leases::Denial::None;
   EXPECT_EQ(r.stage(kSecond, f), Stage::IdempotencyKeys);
@@ -77,8 +77,8 @@
   r.start(0, PreviousRun::Interrupted);
   Facts f = facts(leases::Denial::Draining);
   f.services[1].permit.denial = leases::Denial::LeaseExpired;
-  f.heard = false;
-  f.heard_of = 2, f.majority = 7;
+  f.synchronized = false;
+  f.synchronized_members = 2, f.majority = 7;
   const std::vector<Wait> waits = r.waits(kSecond, f);
   ASSERT_EQ(waits.size(), 4U);
   EXPECT_EQ(waits[0].what, "promises");
