--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,4 +1,4 @@
-// Coming back from a power cut: what is held back for how long, and what each step waits for.
+// Recovery after a crash: which requests are delayed for how long, and what each stage waits for.
 #include "recovery/recovery.h"
 
 #include <gtest/gtest.h>
@@ -18,15 +18,15 @@
   c.deduplication_scope = deduplication_scope;
   return c;
 }
-Facts facts(leases::Denial bar) {
+Facts facts(leases::Denial denial) {
   Facts f;
   f.has_hosts = f.synchronized = true;
-  f.services = {{"charges", {bar, 1, 1, bar == leases::Denial::Draining ? kSecond : 0}, 2},
+  f.services = {{"charges", {denial, 1, 1, denial == leases::Denial::Draining ? kSecond : 0}, 2},
                 {"reservations", {leases::Denial::None, 1, 1, 0}, 5}};
   return f;
 }
 
-TEST(Recovery, StagesFollowWhatIsKnownAndNotTheClock) {
+TEST(Recovery, StageAdvancesByConditionsAndNotByElapsedTime) {
   Recovery r(3 * kSecond);
   r.start(0, PreviousRun::Interrupted);
   Facts f;
@@ -34,7 +34,7 @@
   const Time late = 1000 * kSecond;
   EXPECT_EQ(r.stage(late, f), Stage::NoEndpoints);
   f.has_hosts = true;
-  EXPECT_EQ(r.stage(late, f), Stage::IdempotentOnly) << "however long it has been there";
+  EXPECT_EQ(r.stage(late, f), Stage::IdempotentOnly) << "elapsed time does not advance it";
   f.synchronized = true;
   EXPECT_EQ(r.stage(late, f), Stage::QuorumReached);
   f.services[0].permit.denial = leases::Denial::None;
@@ -42,17 +42,17 @@
   EXPECT_EQ(r.stage(3 * kSecond, f), Stage::FullService);
 }
 
-TEST(Recovery, AfterACutWhatClientsMayAskAgainIsHeldBackByWhoTellsRepeatsApart) {
+TEST(Recovery, AfterACrashRequestsAreDelayedUnlessHostsDiscardTheirRepeats) {
   Recovery r(3 * kSecond);
   r.start(10, PreviousRun::Interrupted);
   EXPECT_EQ(r.delayAfterRestart(10, of(Idempotency::NonIdempotent), true), 3 * kSecond)
-      << "no host tells it from a new one";
+      << "no host can detect the repeat";
   EXPECT_EQ(r.delayAfterRestart(10, of(Idempotency::IdempotentWithKey, DeduplicationScope::Zone), false),
             3 * kSecond)
-      << "it may go to another zone";
+      << "the repeat may go to another zone";
   EXPECT_EQ(r.delayAfterRestart(10, of(Idempotency::IdempotentWithKey, DeduplicationScope::Cell), true),
             3 * kSecond)
-      << "or to another cell";
+      << "the repeat may go to another cell";
   EXPECT_EQ(r.delayAfterRestart(10, of(Idempotency::IdempotentWithKey, DeduplicationScope::Zone), true),
             std::nullopt);
   EXPECT_EQ(r.delayAfterRestart(10, of(Idempotency::IdempotentWithKey, DeduplicationScope::All), false),
@@ -62,7 +62,7 @@
   EXPECT_EQ(r.delayAfterRestart(10 + 3 * kSecond, of(Idempotency::NonIdempotent), false), std::nullopt);
 }
 
-TEST(Recovery, WithoutACutNothingIsHeldBack) {
+TEST(Recovery, WithoutACrashNoRequestIsDelayed) {
   for (const PreviousRun before : {PreviousRun::Unknown, PreviousRun::None, PreviousRun::Clean}) {
     Recovery r(3 * kSecond);
     r.start(0, before);
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(Recovery, EveryWaitNamesWhatItWaitsForTheWorthiestFirst) {
+TEST(Recovery, WaitsNameTheirConditionsAndOrderServicesByPriorityWeight) {
   Recovery r(3 * kSecond);
   r.start(0, PreviousRun::Interrupted);
   Facts f = facts(leases::Denial::Draining);
@@ -82,7 +82,7 @@
   const std::vector<Wait> waits = r.waits(kSecond, f);
   ASSERT_EQ(waits.size(), 4U);
   EXPECT_EQ(waits[0].what, "promises");
-  EXPECT_NE(waits[0].until.find("7 others, 2 have told"), std::string::npos) << waits[0].until;
+  EXPECT_NE(waits[0].until.find("7 other members, 2 received"), std::string::npos) << waits[0].until;
   EXPECT_EQ(waits[1].what, "reservations");
   EXPECT_EQ(waits[2].what, "charges");
   EXPECT_EQ(waits[2].time, kSecond);
