--- a/src/sqlite/database.cpp
+++ b/src/sqlite/database.cpp
@@ -7,8 +7,8 @@
 namespace client_proxy::sqlite {
 namespace {
 
-constexpr int kNoWait = 0;  // one process has one database: a lock is not waited for
-constexpr std::size_t kMaxSqlInErrors = 40;
+constexpr int kNoWait = 0;  // milliseconds; only one process uses a database, so a lock is an error
+constexpr std::size_t kMaxSqlInErrors = 40;  // characters
 
 Fault faultOf(int code) {
   constexpr int kPrimaryCode = 0xFF;
@@ -52,8 +52,8 @@
 }
 
 void Database::fail(int code, const std::string& at) const {
-  const std::string why = handle_ != nullptr ? sqlite3_errmsg(handle_) : sqlite3_errstr(code);
-  throw Error(faultOf(code), file_ + ": " + why + " (" + at.substr(0, kMaxSqlInErrors) + ")");
+  const std::string reason = handle_ != nullptr ? sqlite3_errmsg(handle_) : sqlite3_errstr(code);
+  throw Error(faultOf(code), file_ + ": " + reason + " (" + at.substr(0, kMaxSqlInErrors) + ")");
 }
 
 void Database::run(const char* sql) {
--- a/src/sqlite/include/sqlite/database.h
+++ b/src/sqlite/include/sqlite/database.h
@@ -1,4 +1,4 @@
-// A SQLite file (sqlite.org) with every commit on disk before it returns. Blocks.
+// A SQLite file (sqlite.org) in which every commit is on disk before it returns. All calls block.
 #pragma once
 
 #include <concepts>
@@ -11,16 +11,16 @@
 
 namespace client_proxy::sqlite {
 
-/// Why a database is not used, or not written any more.
+/// Why a database can't be used, or no longer be written.
 enum class Fault : std::uint8_t {
-  Corrupt,   ///< not as it was written
-  Foreign,   ///< another owner's
-  ReadOnly,  ///< it can't be written
-  Full,      ///< the disk is
+  Corrupt,   ///< its content is damaged
+  Foreign,   ///< it belongs to another owner
+  ReadOnly,  ///< it can't be opened or written
+  Full,      ///< the disk is full
   Other,
 };
 
-/// what() names the file and says what is wrong with it.
+/// A failed call; what() names the file and the reason.
 class Error : public std::runtime_error {
  public:
   Error(Fault fault, const std::string& what) : std::runtime_error(what), fault_(fault) {}
@@ -30,17 +30,21 @@
   Fault fault_;
 };
 
+/// An open file.
 class Database {
  public:
-  /// Opens the file, or begins one; a damaged structure is found here. All calls throw Error.
+  /// Opens the file, or creates it, and checks its structure for damage. Throws Error, as all calls do unless
+  /// stated otherwise.
   explicit Database(std::string file);
   ~Database();
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
+  /// Executes statements that return no rows.
   void run(const char* sql);
-  /// Undoes what was done since BEGIN; never throws.
+  /// Undoes all changes since BEGIN; never throws.
   void rollBack();
+  /// Throws the Error for SQLite's result `code` and its last message; `at`: the statement that failed.
   [[noreturn]] void fail(int code, const std::string& at) const;
   const std::string& file() const { return file_; }
 
@@ -51,9 +55,10 @@
   sqlite3* handle_ = nullptr;
 };
 
-/// A prepared statement; values are bound in their order.
+/// A prepared statement; each bind() sets the next parameter.
 class Statement {
  public:
+  /// `database` must outlive the statement.
   Statement(Database& database, const char* sql);
   ~Statement();
   Statement(const Statement&) = delete;
@@ -63,9 +68,11 @@
   Statement& bind(Integer value) {
     return bindInteger(static_cast<std::int64_t>(value));
   }
+  /// Binds the bytes as a BLOB.
   Statement& bind(const std::string& value);
-  /// False: there is no further row.
+  /// Executes the statement, or moves to its next row. False: there is no further row.
   bool step();
+  /// The value of a column of the current row; columns count from 0.
   std::int64_t number(int column);
   std::string text(int column);
 
--- a/src/storage/async_store.cpp
+++ b/src/storage/async_store.cpp
@@ -10,9 +10,9 @@
 
 namespace asio = boost::asio;
 
-AsyncStore::AsyncStore(asio::io_context& home, const std::string& folder, const Store::Owner& owner,
+AsyncStore::AsyncStore(asio::io_context& callback_io, const std::string& folder, const Store::Owner& owner,
                        Callbacks callbacks)
-    : home_(home), callbacks_(std::move(callbacks)) {
+    : callback_io_(callback_io), callbacks_(std::move(callbacks)) {
   try {
     std::error_code ignored;
     std::filesystem::create_directories(folder, ignored);
@@ -24,7 +24,7 @@
     return;
   }
   loop_ = std::make_unique<tasks::Loop>("memory");
-  requests_ = std::make_unique<tasks::Mailbox<Request>>(loop_->io(), kMostWaiting);
+  requests_ = std::make_unique<tasks::Mailbox<Request>>(loop_->io(), kMaxQueued);
   asio::co_spawn(loop_->io(), work(), asio::detached);
 }
 
@@ -32,7 +32,7 @@
   *alive_ = false;
   if (!loop_) return;
   if (!requests_->post(End{}))
-    requests_->close();  // full: pending changes are dropped, nobody was told that they are on disk
+    requests_->close();  // full: pending changes are dropped, none of them was reported as written
   loop_->end();
 }
 
@@ -42,12 +42,12 @@
   if (requests_) requests_->post(Discard{});
 }
 
-// Everything that is queued when the disk becomes free is written together, with one sync.
+// Changes that are queued while a write is under way are written together afterwards, with one sync.
 asio::awaitable<void> AsyncStore::work() {
   while (auto request = co_await requests_->take()) {
     std::vector<Request> requests;
     requests.push_back(std::move(*request));
-    while (requests.size() < kAtOnce) {
+    while (requests.size() < kMaxBatch) {
       auto more = requests_->takeNow();
       if (!more) break;
       requests.push_back(std::move(*more));
@@ -63,9 +63,9 @@
     try {
       store_->write(changes);
       ++syncs_;
-      tell(std::exchange(changes, {}), true, {});
+      report(std::exchange(changes, {}), true, {});
     } catch (const sqlite::Error& e) {
-      tell(std::exchange(changes, {}), false, std::string(nameOf(e.fault())) + ": " + e.what());
+      report(std::exchange(changes, {}), false, std::string(nameOf(e.fault())) + ": " + e.what());
     }
   };
   for (Request& request : requests) {
@@ -79,18 +79,19 @@
       store_->discard();
       ++syncs_;
     } catch (const sqlite::Error& e) {
-      tell({}, false, std::string(nameOf(e.fault())) + ": " + e.what());
+      report({}, false, std::string(nameOf(e.fault())) + ": " + e.what());
     }
   }
   flush();
   return true;
 }
 
-void AsyncStore::tell(std::vector<Change> changes, bool ok, std::string fault) {
-  const bool news = std::exchange(reported_fault_, fault) != fault;
-  asio::post(home_, [this, alive = alive_, changes = std::move(changes), ok, fault = std::move(fault), news] {
+void AsyncStore::report(std::vector<Change> changes, bool ok, std::string fault) {
+  const bool fault_changed = std::exchange(reported_fault_, fault) != fault;
+  asio::post(callback_io_, [this, alive = alive_, changes = std::move(changes), ok, fault = std::move(fault),
+                            fault_changed] {
     if (!*alive) return;
-    if (news) callbacks_.fault_changed(fault);
+    if (fault_changed) callbacks_.fault_changed(fault);
     for (const Change& c : changes) callbacks_.written(c, ok);
   });
 }
--- a/src/storage/include/storage/store.h
+++ b/src/storage/include/storage/store.h
@@ -1,4 +1,5 @@
-// The storage file: SQLite (sqlite.org); every change is on disk before write() returns. All calls block.
+// The file in which a member stores grants and notes: SQLite (sqlite.org); every change is on disk before
+// write() returns. All calls block.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +14,21 @@
 
 namespace client_proxy::storage {
 
-// A named value; writing it replaces the one before.
+// A named value; writing it replaces the previous value of the same name.
 struct Note {
   std::string name, bytes;
 };
 using Change = std::variant<leases::StoredGrant, Note>;
 
 struct Contents {
-  std::uint32_t installation = 0;  // drawn by chance when the file was created; never 0
-  bool fresh = false;              // the file was created just now
+  std::uint32_t installation =
+      0;               // a random number that identifies the file, chosen at its creation; never 0
+  bool fresh = false;  // the file was created by this Store
   std::vector<leases::StoredGrant> grants;
   std::vector<Note> notes;
 };
 
-// As pages and logs show it.
+// The name in pages and logs.
 constexpr std::string_view nameOf(sqlite::Fault fault) {
   constexpr std::string_view kNames[] = {"broken", "another's", "read-only", "full", "failing"};
   return kNames[static_cast<std::size_t>(fault)];
@@ -34,26 +36,29 @@
 
 class Store {
  public:
-  // Whose storage it is.
+  // The member that the file belongs to.
   struct Owner {
     std::string fleet;
     std::uint16_t member = 0;
   };
-  // Opens the file, or creates it. Throws sqlite::Error; a broken file is left as it is.
+  // Opens the file, or creates it. Throws sqlite::Error; a corrupt file is left as it is.
   Store(const std::string& file, const Owner& owner);
 
-  // Everything stored; each row is verified by its checksum. Throws sqlite::Error.
+  // Reads everything and verifies each row by its checksum. Throws sqlite::Error, with Fault::Foreign if the
+  // file belongs to another member or fleet.
   Contents load();
-  // All of these or none. A grant of a lower term than the stored one changes nothing. Throws sqlite::Error.
+  // Stores all of these changes or none. A grant of a lower term than the stored one changes nothing. Throws
+  // sqlite::Error.
   void write(std::span<const Change> changes);
   // For tests: limits the size of the file, in pages, as a full disk would.
-  void limitPages(int most);
-  // Removes everything and begins anew as another installation. Throws sqlite::Error.
+  void limitPages(int max_pages);
+  // Removes all contents and starts a new installation. Throws sqlite::Error.
   void discard();
 
  private:
-  void begin();
-  void put(const leases::StoredGrant& kept);
+  // Writes the meta rows of a new installation.
+  void initialize();
+  void put(const leases::StoredGrant& stored);
   void put(const Note& note);
 
   sqlite::Database database_;
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -8,7 +8,7 @@
 namespace client_proxy::storage {
 namespace {
 
-constexpr std::int64_t kLayout = 1;
+constexpr std::int64_t kLayoutVersion = 1;
 
 std::int64_t checksumOf(const leases::StoredGrant& k) {
   return static_cast<std::int64_t>(load_balancer::fnv64(
@@ -30,15 +30,15 @@
       "ready INTEGER, checksum INTEGER)");
   database_.run(
       "CREATE TABLE IF NOT EXISTS notes (name BLOB PRIMARY KEY, bytes BLOB, checksum INTEGER) WITHOUT ROWID");
-  if (!sqlite::Statement(database_, "SELECT 1 FROM meta").step()) begin();
+  if (!sqlite::Statement(database_, "SELECT 1 FROM meta").step()) initialize();
   database_.run("COMMIT");
 }
 
-void Store::begin() {
+void Store::initialize() {
   std::random_device random;
   std::uint32_t installation = 0;
   while (installation == 0) installation = random();
-  const std::pair<const char*, std::string> all[] = {{"layout", std::to_string(kLayout)},
+  const std::pair<const char*, std::string> all[] = {{"layout", std::to_string(kLayoutVersion)},
                                                      {"installation", std::to_string(installation)},
                                                      {"fleet", owner_.fleet},
                                                      {"member", std::to_string(owner_.member)}};
@@ -55,19 +55,20 @@
   const auto meta = [&](const char* name) {
     sqlite::Statement get(database_, "SELECT value FROM meta WHERE name = ?");
     get.bind(std::string(name));
-    if (!get.step()) throw sqlite::Error(sqlite::Fault::Corrupt, database_.file() + ": lacks its " + name);
+    if (!get.step())
+      throw sqlite::Error(sqlite::Fault::Corrupt, database_.file() + ": has no value of " + name);
     return get.text(0);
   };
-  if (meta("layout") != std::to_string(kLayout))
+  if (meta("layout") != std::to_string(kLayoutVersion))
     throw sqlite::Error(sqlite::Fault::Other,
                         database_.file() + ": was written by another version of the program");
   if (meta("fleet") != owner_.fleet || meta("member") != std::to_string(owner_.member))
-    throw sqlite::Error(sqlite::Fault::Foreign, database_.file() + ": is the memory of member " +
+    throw sqlite::Error(sqlite::Fault::Foreign, database_.file() + ": is the storage of member " +
                                                     meta("member") + " of the fleet '" + meta("fleet") + "'");
   m.installation = static_cast<std::uint32_t>(std::stoul(meta("installation")));
-  const auto sound = [&](std::int64_t is, std::int64_t should) {
-    if (is != should)
-      throw sqlite::Error(sqlite::Fault::Corrupt, database_.file() + ": a row is not as it was written");
+  const auto verify_checksum = [&](std::int64_t stored, std::int64_t computed) {
+    if (stored != computed)
+      throw sqlite::Error(sqlite::Fault::Corrupt, database_.file() + ": a row does not match its checksum");
   };
   sqlite::Statement grants(database_, "SELECT service, term, site, ground, ready, checksum FROM deeds");
   while (grants.step()) {
@@ -78,13 +79,13 @@
     const std::int64_t reason = grants.number(3);
     k.ready = grants.number(4) != 0;
     k.grant.reason = static_cast<leases::ClaimReason>(reason & 3);
-    sound(grants.number(5), checksumOf(k));
+    verify_checksum(grants.number(5), checksumOf(k));
     m.grants.push_back(k);
   }
   sqlite::Statement notes(database_, "SELECT name, bytes, checksum FROM notes");
   while (notes.step()) {
     Note n{notes.text(0), notes.text(1)};
-    sound(notes.number(2), checksumOf(n));
+    verify_checksum(notes.number(2), checksumOf(n));
     m.notes.push_back(std::move(n));
   }
   return m;
@@ -120,14 +121,16 @@
   }
 }
 
-void Store::limitPages(int most) { database_.run(("PRAGMA max_page_count=" + std::to_string(most)).c_str()); }
+void Store::limitPages(int max_pages) {
+  database_.run(("PRAGMA max_page_count=" + std::to_string(max_pages)).c_str());
+}
 
 void Store::discard() {
   database_.run("BEGIN IMMEDIATE");
   database_.run("DELETE FROM deeds");
   database_.run("DELETE FROM notes");
   database_.run("DELETE FROM meta");
-  begin();
+  initialize();
   database_.run("COMMIT");
 }
 
