--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// What earlier versions have stored or sent is read as it was meant. The files under tests/stored were
-// written by commit 0724e26, before the packages were renamed.
+// Compatibility: data that earlier versions have stored or sent is read with its original meaning. The files
+// under tests/stored were written by commit 0724e26, before the packages were renamed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -24,7 +24,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// A copy of a stored file that may be written, for as long as it is there.
+// A writable copy of a stored file, which is deleted with the object.
 class Copy {
  public:
   explicit Copy(const std::string& name) {
@@ -53,7 +53,7 @@
                                        .ended = 20,
                                        .never_ran = true};
 
-TEST(StoredData, LeasesAndNotesOfAMember) {
+TEST(StoredData, LeasesAndNotesOfAMemberAreLoaded) {
   const Copy file("storage.db");
   storage::Store store(file.path(), {"fleet", 7});
   const storage::Contents contents = store.load();
@@ -66,7 +66,7 @@
   EXPECT_EQ(contents.notes[0].bytes, "1");
 }
 
-TEST(StoredData, VotesAndVersionsOfAReplica) {
+TEST(StoredData, VotesAndVersionsOfAReplicaAreLoaded) {
   const Copy file("replica.db");
   replica::Store store(file.path(), 2, 1000);
   const consensus::DurableState state = store.load();
@@ -84,7 +84,7 @@
   EXPECT_EQ(changes[0].digest, distribution::digestOf(changes[0].text));
 }
 
-TEST(StoredData, StateOfTheProcessBeforeAHotRestart) {
+TEST(StoredData, StateOfThePreviousProcessOfAHotRestartIsParsedAndWrittenUnchanged) {
   const hot_restart::State state = hot_restart::fromText(contentOf("state.txt"));
   EXPECT_EQ(state.hosts, R"({"rev":41,"all":true,"targets":[]})");
   const load_balancer::HostSnapshot host{.id = "s-1",
@@ -103,10 +103,11 @@
   EXPECT_TRUE(state.drained);
   EXPECT_EQ(state.tried, std::vector{kRecord});
   EXPECT_EQ(state.fleet, "fleet bytes");
-  EXPECT_EQ(hot_restart::toText(state), contentOf("state.txt")) << "and is written as it was";
+  EXPECT_EQ(hot_restart::toText(state), contentOf("state.txt"))
+      << "the same state is written as the same text";
 }
 
-TEST(StoredData, FramesOfAHotRestart) {
+TEST(StoredData, FramesOfAHotRestartAreDecodedAndEncodedUnchanged) {
   EXPECT_EQ(hot_restart::triedFromText(contentOf("tried.txt")), std::vector{kRecord});
   const auto frame = hot_restart::decode(contentOf("frame.bin"));
   ASSERT_TRUE(frame);
@@ -114,7 +115,7 @@
   EXPECT_EQ(hot_restart::encode(*frame), contentOf("frame.bin"));
 }
 
-TEST(StoredData, DatagramsBetweenMembers) {
+TEST(StoredData, DatagramsBetweenMembersAreDecodedAndEncodedUnchanged) {
   const std::uint64_t seed = fleet::fleetSeed("fleet");
   const fleet::Decoded decoded = fleet::decode(contentOf("datagram.bin"), seed);
   ASSERT_EQ(decoded.fault, fleet::Fault::None);
