--- a/tests/zone_health_days_test.cpp
+++ b/tests/zone_health_days_test.cpp
@@ -1,5 +1,5 @@
-// Verdicts on zones over days of the fleet model: the module as compiled into the daemon in every client,
-// what it has seen told to the others late and with losses, and no verdict but where a zone is lost.
+// Zone health in the fleet model: every client runs the module as compiled into the daemon, its reports reach
+// the others late and with losses, and no zone is declared down but one that has failed.
 #include <gtest/gtest.h>
 
 #include "zone_health_day.h"
@@ -9,30 +9,30 @@
 
 class VerdictDays : public ::testing::TestWithParam<double> {};
 
-// Nothing fails but one host; all are as busy as that.
-TEST_P(VerdictDays, ABusyDayWithOneDeadHostEndsWithoutAVerdict) {
+// One host stops, and nothing else fails; the hosts are under the load of the parameter.
+TEST_P(VerdictDays, OneStoppedHostUnderLoadDeclaresNoZoneDown) {
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-    VerdictDay day({.clients = 24, .hosts = 12, .load = GetParam(), .loss = 0.3}, seed);
+    ZoneHealthDay day({.clients = 24, .hosts = 12, .load = GetParam(), .loss = 0.3}, seed);
     day.runFor(3 * kSec);
     day.fleet().stopHost(seed % 12);
     day.runFor(9 * kSec);
-    ASSERT_EQ(day.calls(), 0) << "seed " << seed << day.reported();
+    ASSERT_EQ(day.declarations(), 0) << "seed " << seed << day.log();
   }
 }
 
-TEST_P(VerdictDays, ALostZoneIsTheOnlyOneCalledAndComesBack) {
+TEST_P(VerdictDays, OnlyTheFailedZoneIsDeclaredDownAndItRecovers) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    VerdictDay day({.clients = 24, .hosts = 12, .load = GetParam() * 0.6, .loss = 0.3}, seed);
+    ZoneHealthDay day({.clients = 24, .hosts = 12, .load = GetParam() * 0.6, .loss = 0.3}, seed);
     day.runFor(3 * kSec);
     day.fleet().silence(1, true);
     day.runFor(6 * kSec);
-    EXPECT_EQ(day.holding(1, client_proxy::zone_health::ZoneState::Down), 24U)
-        << "seed " << seed << day.reported();
+    EXPECT_EQ(day.membersWith(1, client_proxy::zone_health::ZoneState::Down), 24U)
+        << "seed " << seed << day.log();
     day.fleet().silence(1, false);
     day.runFor(16 * kSec);
-    EXPECT_EQ(day.holding(1, client_proxy::zone_health::ZoneState::Up), 24U)
-        << "seed " << seed << day.reported();
-    EXPECT_EQ(day.callsOn(0) + day.callsOn(2), 0) << "seed " << seed << day.reported();
+    EXPECT_EQ(day.membersWith(1, client_proxy::zone_health::ZoneState::Up), 24U)
+        << "seed " << seed << day.log();
+    EXPECT_EQ(day.declarations(0) + day.declarations(2), 0) << "seed " << seed << day.log();
   }
 }
 
