--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -154,11 +154,11 @@
     tellWatchers(news);
   }
   // Nothing comes from there any more, no reset either; or again.
-  void silence(std::int32_t zone, bool silent) {
+  void setUnresponsive(std::int32_t zone, bool silent) {
     for (Machine& h : hosts_) h.silent = h.listed.zone == zone ? silent : h.silent;
   }
   // What all hold of a zone; a few look after it.
-  void order(std::int32_t zone, ZoneDirective order, std::size_t watchers) {
+  void setZoneDirective(std::int32_t zone, ZoneDirective order, std::size_t watchers) {
     for (std::size_t c = 0; c < clients_.size(); ++c) {
       const ZoneDirective own =
           c < watchers && order == ZoneDirective::Eject ? ZoneDirective::EjectAndCheck : order;
@@ -166,11 +166,11 @@
     }
   }
   // The same for one client, and what it has seen itself.
-  void order(std::size_t client, std::int32_t zone, ZoneDirective order) {
+  void setZoneDirective(std::size_t client, std::int32_t zone, ZoneDirective order) {
     Client& c = clients_[client];
     tell(c, [&](Actions& out) { c.balancer->setZone(now_, zone, order, out); });
   }
-  ZoneObservation seen(std::size_t client, std::int32_t zone, const ZoneObservedSince& since) {
+  ZoneObservation zoneObservation(std::size_t client, std::int32_t zone, const ZoneObservedSince& since) {
     return clients_[client].balancer->observeZone(now_, zone, since);
   }
   Time now() const { return now_; }
@@ -184,12 +184,12 @@
   // ---- what came of it ----
 
   const std::vector<Machine>& hosts() const { return hosts_; }
-  const Count& refused() const { return refused_; }
+  const Count& rejected() const { return refused_; }
   const Count& failed() const { return failed_; }
   const Count& discoveryCalls() const { return calls_; }
   std::uint32_t restarted() const { return restarted_; }
-  std::uint64_t asked() const { return asked_; }
-  std::uint64_t answered() const { return answered_; }
+  std::uint64_t requests() const { return asked_; }
+  std::uint64_t successes() const { return answered_; }
   std::size_t watching() const {
     return static_cast<std::size_t>(
         std::count_if(clients_.begin(), clients_.end(), [](const Client& c) { return c.watches; }));
--- a/tests/herd_test.cpp
+++ b/tests/herd_test.cpp
@@ -35,7 +35,7 @@
   // One that is turned away comes again after half a second at the least, and less often each time.
   EXPECT_LE(fleet.discoveryCalls().all() - before, 8 * fleet.restarted());
   EXPECT_EQ(fleet.watching(), GetParam().clients);
-  EXPECT_GT(static_cast<double>(fleet.answered()), 0.97 * static_cast<double>(fleet.asked()));
+  EXPECT_GT(static_cast<double>(fleet.successes()), 0.97 * static_cast<double>(fleet.requests()));
 }
 
 TEST_P(Herd, ARestartBringsEachHostAConnectionFromThoseThatHoldItNotFromAll) {
@@ -90,7 +90,7 @@
     EXPECT_LE(host.probes.all(), 2 * holders() * 8) << host.listed.id;
     EXPECT_LE(host.connects.most(), atMost(holders())) << host.listed.id;
   }
-  EXPECT_GT(static_cast<double>(fleet.answered()), 0.95 * static_cast<double>(fleet.asked()));
+  EXPECT_GT(static_cast<double>(fleet.successes()), 0.95 * static_cast<double>(fleet.requests()));
 }
 
 FleetModel::Shape shapeOf(std::uint32_t clients, std::uint32_t hosts, double rate) {
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -154,8 +154,8 @@
       sent += host.cold_sends.all();
     }
     std::cout << "worst window " << worst << " of its bound; over it " << over << " of "
-              << fleet.hosts().size() << " hosts; sent " << sent << ", answered " << fleet.answered()
-              << " of " << fleet.asked() << '\n';
+              << fleet.hosts().size() << " hosts; sent " << sent << ", answered " << fleet.successes()
+              << " of " << fleet.requests() << '\n';
     EXPECT_LE(worst, 1) << over << " of " << fleet.hosts().size() << " hosts";
     EXPECT_EQ(fleet.violations(), 0U);
     EXPECT_GT(sent, 0U) << "hosts in slow start are used";
--- a/tests/zone_health_day.h
+++ b/tests/zone_health_day.h
@@ -81,7 +81,7 @@
     ZoneHealthQuorum& zone_health = quorums_[c];
     const Time now = fleet_.now();
     for (std::size_t z = 0; z < kZones; ++z)
-      zone_health.observe(z, fleet_.seen(c, static_cast<std::int32_t>(z), zone_health.since(z)));
+      zone_health.observe(z, fleet_.zoneObservation(c, static_cast<std::int32_t>(z), zone_health.since(z)));
     if (sent_reports_[c].empty()) send(c);
     std::vector<ZoneState> before;
     for (std::size_t z = 0; z < kZones; ++z) before.push_back(zone_health.status(z).state);
@@ -96,7 +96,7 @@
                         ? ZoneDirective::EjectAndCheck
                         : ZoneDirective::Eject;
       if (std::exchange(directives_[c][z], directive) != directive)
-        fleet_.order(c, static_cast<std::int32_t>(z), directive);
+        fleet_.setZoneDirective(c, static_cast<std::int32_t>(z), directive);
     }
   }
   static client_proxy::fleet::Number number(std::size_t c) {
--- a/tests/zone_health_days_test.cpp
+++ b/tests/zone_health_days_test.cpp
@@ -24,11 +24,11 @@
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     ZoneHealthDay day({.clients = 24, .hosts = 12, .load = GetParam() * 0.6, .loss = 0.3}, seed);
     day.runFor(3 * kSec);
-    day.fleet().silence(1, true);
+    day.fleet().setUnresponsive(1, true);
     day.runFor(6 * kSec);
     EXPECT_EQ(day.membersWith(1, client_proxy::zone_health::ZoneState::Down), 24U)
         << "seed " << seed << day.log();
-    day.fleet().silence(1, false);
+    day.fleet().setUnresponsive(1, false);
     day.runFor(16 * kSec);
     EXPECT_EQ(day.membersWith(1, client_proxy::zone_health::ZoneState::Up), 24U)
         << "seed " << seed << day.log();
--- a/tests/zone_loss_test.cpp
+++ b/tests/zone_loss_test.cpp
@@ -32,23 +32,23 @@
   static Course run(bool told, std::uint64_t seed) {
     constexpr Time kVerdict = 1500 * kMs;
     FleetModel fleet(shape(), fleetSettings(), seed);
-    const auto lost = [&] { return fleet.refused().all() + fleet.failed().all(); };
+    const auto lost = [&] { return fleet.rejected().all() + fleet.failed().all(); };
     const auto at = [&](auto count) {
       std::uint32_t n = 0;
       for (const auto& h : fleet.hosts()) n += h.listed.zone == 1 ? count(h) : 0;
       return n;
     };
     fleet.runFor(20 * kSec);
-    fleet.silence(1, true);
+    fleet.setUnresponsive(1, true);
     fleet.runFor(kVerdict);
-    if (told) fleet.order(1, ZoneDirective::Eject, 3);
+    if (told) fleet.setZoneDirective(1, ZoneDirective::Eject, 3);
     const std::uint32_t before = lost(), probes = at([](auto&h) { return h.probes.all(); });
     fleet.runFor(10 * kSec - kVerdict);
     Course c;
     c.lost = lost() - before;
     c.probes = at([](auto& h) { return h.probes.all(); }) - probes;
-    fleet.silence(1, false);
-    if (told) fleet.order(1, ZoneDirective::None, 0);
+    fleet.setUnresponsive(1, false);
+    if (told) fleet.setZoneDirective(1, ZoneDirective::None, 0);
     const std::uint32_t sends = at([](auto& h) { return h.sends.all(); });
     fleet.runFor(10 * kSec);
     c.used = at([](auto& h) { return h.sends.all(); }) - sends;
