--- a/src/zone_health/zone_health_quorum.cpp
+++ b/src/zone_health/zone_health_quorum.cpp
@@ -76,7 +76,7 @@
 }
 
 // Responses that this member has observed until now were to requests sent before the suspicion, so they don't
-// count in the comparison, unless the zone that responded is under suspicion itself.
+// count in the comparison. Those of another zone that is suspected as well are kept.
 void ZoneHealthQuorum::beginComparison(Time now, std::size_t zone) {
   Zone& z = zones_[zone];
   z.suspected_since = now;
--- a/src/zone_observations/include/zone_observations/zone_observations.h
+++ b/src/zone_observations/include/zone_observations/zone_observations.h
@@ -35,7 +35,7 @@
 
   // Records a missing response for the report to the fleet. `unreachable`: no connection was established, or
   // a health check failed. Load is the cause of neither: a machine's kernel accepts connections, and a host
-  // answers health checks, however busy it is.
+  // responds to health checks, however busy it is.
   void recordForReport(std::int32_t zone, std::string_view host, Time sent, Time now, bool unreachable);
   // The report to the fleet. Responding: a response was received within kResponseLifetime and not before
   // `since`. Unresponsive: two hosts of the zone have not responded, one of them is unreachable, and no host
--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -1,7 +1,7 @@
-// A fleet in one process: decision modules as compiled into the daemon, against one model of hosts and of a
-// discovery that is overbooked. Time is a number and chance is seeded, so a run is the same every time. Hosts
-// queue first come first served, start cold, hold so many connections; what all clients together do to each
-// of them is counted by steps of 100 ms.
+// A fleet in one process: decision modules as compiled into the daemon, with a model of the hosts and of a
+// discovery service of limited throughput. Time is simulated and random numbers are seeded, so that runs are
+// reproducible. Hosts serve requests in the order of arrival, need a slow start, and hold a limited number of
+// connections; the load of all clients together on each host is counted in steps of 100 ms.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 
 namespace load_balancer::test {
 
-// As a site's that has many clients.
+// Settings of a site that has many clients.
 inline Settings fleetSettings() {
   Settings s;
   RequestClass safe, unsafe;
@@ -46,29 +46,29 @@
   struct Shape {
     std::uint32_t clients = 48, hosts = 40;
     double rate = 10;      // requests a second of each client
-    double hot = 1;        // times that, of every tenth client
-    Time work = 85 * kMs;  // mean, on one core of a warm host
+    double hot = 1;        // the rate of every tenth client, as a multiple of `rate`
+    Time work = 85 * kMs;  // mean service time of a request, on one core of a host after its slow start
     int cores = 2;
-    std::size_t connections = 1000;  // that a host holds
-    std::size_t queue = 40;          // that wait at a host
-    Time network = 2 * kMs;          // one way
-    Time idle = 7 * kSec;            // a connection is kept so long
-    Time all_calls = 8 * kSec;       // discovery takes a call from every client in this time
-    Time patience = kSec;            // of a call on discovery
-    std::int32_t zones = 3;          // hosts lie in them in turn
-    Time connect = 250 * kMs;        // until a connection that does not come up is given up
+    std::size_t connections = 1000;    // of a host, at most
+    std::size_t queue = 40;            // requests that wait at a host, at most
+    Time network = 2 * kMs;            // latency one way
+    Time idle_timeout = 7 * kSec;      // of a connection
+    Time all_calls = 8 * kSec;         // the time in which discovery serves one call of every client
+    Time discovery_timeout = kSec;     // of a call
+    std::int32_t zones = 3;            // hosts are assigned to them in turn
+    Time connect_timeout = 250 * kMs;  // of a connection attempt
   };
   static constexpr Time kStep = 100 * kMs;
 
-  // What happened at one place, by steps since the start.
+  // A count of events by steps since the start.
   class Count {
    public:
-    void note(Time since_start) {
+    void add(Time since_start) {
       const auto step = static_cast<std::size_t>(since_start / kStep);
       if (steps_.size() <= step) steps_.resize(step + 1);
       ++steps_[step];
     }
-    // The most within any `span`.
+    // The highest count within any `span`.
     std::uint32_t most(Time span = kStep) const {
       const auto steps = static_cast<std::size_t>(span / kStep);
       std::uint32_t within = 0, most = 0;
@@ -79,7 +79,7 @@
       }
       return most;
     }
-    std::uint32_t between(Time from, Time to) const {  // since the start
+    std::uint32_t between(Time from, Time to) const {  // times since the start
       std::uint32_t n = 0;
       for (auto i = static_cast<std::size_t>(from / kStep);
            i < std::min(steps_.size(), static_cast<std::size_t>(to / kStep)); ++i)
@@ -95,13 +95,15 @@
    private:
     std::vector<std::uint32_t> steps_;
   };
+  // A host and what all clients together have sent to it.
   struct Machine {
     Host listed;
-    Time started = 0;        // in true time, which `listed` may not tell; 0: long ago
-    std::uint64_t life = 0;  // restarts so far: what an earlier life had in work is reset
-    bool up = true, silent = false;
-    std::vector<Time> free_at;  // by core
-    std::size_t open = 0, most_open = 0;
+    // In the model's time, from which that in `listed` may differ by a clock error; 0: long before the start.
+    Time started = 0;
+    std::uint64_t generation = 0;  // grows with each restart, which resets requests in work
+    bool up = true, unresponsive = false;
+    std::vector<Time> free_at;            // by core
+    std::size_t open = 0, most_open = 0;  // connections: now, and at most so far
     Count sends, cold_sends, connects, probes;
   };
 
@@ -110,12 +112,12 @@
     for (std::uint32_t h = 0; h < shape.hosts; ++h) addHost(0);
     clients_.resize(shape.clients);
     for (std::uint32_t c = 0; c < shape.clients; ++c) {
-      begin(c);
+      start(c);
       arrive(c);
     }
   }
 
-  // ---- what may happen to it ----
+  // ---- events ----
 
   void runFor(Time time) {
     const Time end = now_ + time;
@@ -123,78 +125,80 @@
       const Event next = events_.top();
       events_.pop();
       now_ = next.when;
-      next.happen();
+      next.handle();
     }
     now_ = end;
   }
-  // At once, knowing only the list they had.
+  // Restarts this fraction of the clients at once; each has only the stored list of hosts.
   void restartClients(double part) {
     for (std::uint32_t c = 0; c < clients_.size(); ++c) {
-      if (chance() >= part) continue;
+      if (uniform() >= part) continue;
       restarted_ += 1;
       for (const auto& [h, held] : clients_[c].held) hosts_[h].open -= held;
-      begin(c);
+      start(c);
     }
   }
   void stopHost(std::size_t host) { hosts_[host].up = false; }
-  // Arrivals at all clients from now on, as a multiple of the ordinary ones.
+  // Sets the arrival rate at all clients from now on, as a multiple of the rate in Shape.
   void setLoad(double factor) { load_ = factor; }
-  // They start anew at once, cold, and every client that watches is told. `clock_error`: of the clock that
-  // tells when they started, against the clients' own.
+  // Restarts hosts at once, which then need a slow start; every client that watches discovery is notified.
+  // `clock_error`: how far the clock that reports their start is ahead of the clients' clocks.
   void restartHosts(std::size_t from, std::size_t to, Time clock_error = 0) {
-    std::vector<Host> news;
+    std::vector<Host> changed;
     for (std::size_t h = from; h < to; ++h) {
       Machine& host = hosts_[h];
-      ++host.life;
+      ++host.generation;
       host.started = now_;
       host.listed.started_at = now_ + clock_error;
       std::fill(host.free_at.begin(), host.free_at.end(), now_);
-      news.push_back(host.listed);
+      changed.push_back(host.listed);
     }
-    tellWatchers(news);
+    notifyWatchers(changed);
   }
-  // Nothing comes from there any more, no reset either; or again.
-  void setUnresponsive(std::int32_t zone, bool silent) {
-    for (Machine& h : hosts_) h.silent = h.listed.zone == zone ? silent : h.silent;
+  // Whether the hosts of a zone send nothing at all, not even a reset of a connection.
+  void setUnresponsive(std::int32_t zone, bool unresponsive) {
+    for (Machine& h : hosts_) h.unresponsive = h.listed.zone == zone ? unresponsive : h.unresponsive;
   }
-  // What all hold of a zone; a few look after it.
-  void setZoneDirective(std::int32_t zone, ZoneDirective order, std::size_t watchers) {
+  // Sets the directive on a zone at all clients; with Eject the first `checkers` of them check its hosts.
+  void setZoneDirective(std::int32_t zone, ZoneDirective directive, std::size_t checkers) {
     for (std::size_t c = 0; c < clients_.size(); ++c) {
       const ZoneDirective own =
-          c < watchers && order == ZoneDirective::Eject ? ZoneDirective::EjectAndCheck : order;
-      tell(clients_[c], [&](Actions& out) { clients_[c].balancer->setZone(now_, zone, own, out); });
+          c < checkers && directive == ZoneDirective::Eject ? ZoneDirective::EjectAndCheck : directive;
+      call(clients_[c], [&](Actions& out) { clients_[c].balancer->setZone(now_, zone, own, out); });
     }
   }
-  // The same for one client, and what it has seen itself.
-  void setZoneDirective(std::size_t client, std::int32_t zone, ZoneDirective order) {
+  // The same for one client.
+  void setZoneDirective(std::size_t client, std::int32_t zone, ZoneDirective directive) {
     Client& c = clients_[client];
-    tell(c, [&](Actions& out) { c.balancer->setZone(now_, zone, order, out); });
+    call(c, [&](Actions& out) { c.balancer->setZone(now_, zone, directive, out); });
   }
+  // What this client has observed of a zone itself.
   ZoneObservation zoneObservation(std::size_t client, std::int32_t zone, const ZoneObservedSince& since) {
     return clients_[client].balancer->observeZone(now_, zone, since);
   }
   Time now() const { return now_; }
-  // Cold ones, told to every client that watches in the same moment.
+  // Adds hosts that need a slow start; every client that watches discovery is notified at once.
   void addColdHosts(std::size_t count) {
-    std::vector<Host> news;
-    for (std::size_t i = 0; i < count; ++i) news.push_back(hosts_[addHost(now_)].listed);
-    tellWatchers(news);
+    std::vector<Host> changed;
+    for (std::size_t i = 0; i < count; ++i) changed.push_back(hosts_[addHost(now_)].listed);
+    notifyWatchers(changed);
   }
 
-  // ---- what came of it ----
+  // ---- results ----
 
   const std::vector<Machine>& hosts() const { return hosts_; }
-  const Count& rejected() const { return refused_; }
+  const Count& rejected() const { return rejected_; }
   const Count& failed() const { return failed_; }
   const Count& discoveryCalls() const { return calls_; }
   std::uint32_t restarted() const { return restarted_; }
-  std::uint64_t requests() const { return asked_; }
-  std::uint64_t successes() const { return answered_; }
+  std::uint64_t requests() const { return requests_; }
+  std::uint64_t successes() const { return successes_; }
+  // Clients whose watch on discovery is established.
   std::size_t watching() const {
     return static_cast<std::size_t>(
         std::count_if(clients_.begin(), clients_.end(), [](const Client& c) { return c.watches; }));
   }
-  // What the clients' own checks have stopped.
+  // Rule violations that the clients' own checks have prevented.
   std::uint64_t violations() const {
     std::uint64_t all = 0;
     for (const Client& c : clients_) {
@@ -203,7 +207,7 @@
     }
     return all;
   }
-  // Requests that a warm host serves in this time.
+  // The number of requests that a host serves in this time after its slow start.
   double capacity(Time span) const {
     return shape_.cores * static_cast<double>(span) / static_cast<double>(shape_.work);
   }
@@ -215,30 +219,30 @@
   };
   struct Client {
     std::unique_ptr<Balancer> balancer;
-    std::uint64_t life = 0;  // restarts so far: what an earlier life began means nothing
+    std::uint64_t generation = 0;  // grows with each start, after which earlier events are ignored
     bool watches = false;
-    std::map<std::size_t, std::size_t> idle, held;  // connections by host: at rest, and all
+    std::map<std::size_t, std::size_t> idle, held;  // connections by host: the idle ones, and all
     std::unordered_map<RequestId, std::vector<Attempt>> attempts;
     Actions actions;
   };
   struct Event {
     Time when;
-    std::uint64_t order;
-    std::function<void()> happen;
-    bool operator<(const Event& o) const { return when != o.when ? when > o.when : order > o.order; }
+    std::uint64_t sequence;  // orders events of the same time
+    std::function<void()> handle;
+    bool operator<(const Event& o) const { return when != o.when ? when > o.when : sequence > o.sequence; }
   };
 
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Time drawn(double mean) {
+  double uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  Time exponential(double mean) {
     return static_cast<Time>(std::exponential_distribution<double>(1 / mean)(random_)) + 1;
   }
-  void at(Time when, std::function<void()> happen) {
-    events_.push({std::max(when, now_), order_++, std::move(happen)});
+  void at(Time when, std::function<void()> handle) {
+    events_.push({std::max(when, now_), next_sequence_++, std::move(handle)});
   }
-  // For a client of this life only.
-  void later(Client& c, Time when, std::function<void()> happen) {
-    at(when, [&c, life = c.life, happen = std::move(happen)] {
-      if (c.life == life) happen();
+  // Schedules an event that is ignored if the client has been restarted by then.
+  void later(Client& c, Time when, std::function<void()> handle) {
+    at(when, [&c, generation = c.generation, handle = std::move(handle)] {
+      if (c.generation == generation) handle();
     });
   }
 
@@ -253,10 +257,10 @@
     return hosts_.size() - 1;
   }
 
-  void tellWatchers(const std::vector<Host>& news) {
+  void notifyWatchers(const std::vector<Host>& changed) {
     for (Client& c : clients_) {
       if (c.watches)
-        tell(c, [&](Actions& out) { c.balancer->onServers(now_, ListKind::Changes, news, out); });
+        call(c, [&](Actions& out) { c.balancer->onServers(now_, ListKind::Changes, changed, out); });
     }
   }
 
@@ -266,9 +270,9 @@
     return all;
   }
 
-  void begin(std::uint32_t number) {
+  void start(std::uint32_t number) {
     Client& c = clients_[number];
-    ++c.life;
+    ++c.generation;
     c.watches = false;
     c.idle.clear();
     c.held.clear();
@@ -277,30 +281,30 @@
     s.client = number;
     s.clients = shape_.clients;
     c.balancer = std::make_unique<Balancer>(s, random_());
-    const std::vector<Host> known = list();
-    tell(c, [&](Actions& out) { c.balancer->onServers(now_, ListKind::Restored, known, out); });
+    const std::vector<Host> listed = list();
+    call(c, [&](Actions& out) { c.balancer->onServers(now_, ListKind::Restored, listed, out); });
   }
 
   void arrive(std::uint32_t number) {
     const double rate = shape_.rate * (number % 10 == 0 ? shape_.hot : 1);
-    at(now_ + drawn(1e6 / (rate * load_)), [this, number] {
+    at(now_ + exponential(1e6 / (rate * load_)), [this, number] {
       Client& c = clients_[number];
       Request r;
-      r.id = ++asked_;
+      r.id = ++requests_;
       r.request_class = static_cast<std::int32_t>(r.id % settings_.classes.size());
       r.time_left = settings_.classes[static_cast<std::size_t>(r.request_class)].deadline;
-      tell(c, [&](Actions& out) { c.balancer->onRequest(now_, r, out); });
+      call(c, [&](Actions& out) { c.balancer->onRequest(now_, r, out); });
       arrive(number);
     });
   }
 
-  template <typename Call>
-  void tell(Client& c, Call call) {
+  template <typename Function>
+  void call(Client& c, Function function) {
     c.actions.clear();
-    call(c.actions);
-    const Actions todo = std::move(c.actions);
+    function(c.actions);
+    const Actions actions = std::move(c.actions);
     c.actions = {};
-    for (const Action& a : todo) act(c, a);
+    for (const Action& a : actions) act(c, a);
   }
 
   void act(Client& c, const Action& a) {
@@ -313,12 +317,12 @@
         return subscribe(c);
       case ActionKind::SetTimer:
         return later(c, a.time, [this, &c, timer = a.timer] {
-          tell(c, [&](Actions& out) { c.balancer->onTimer(now_, timer, out); });
+          call(c, [&](Actions& out) { c.balancer->onTimer(now_, timer, out); });
         });
       case ActionKind::Reject:
-        return refused_.note(now_ - kStart);
+        return rejected_.add(now_ - kStart);
       case ActionKind::Fail:
-        return failed_.note(now_ - kStart);
+        return failed_.add(now_ - kStart);
       default:
         return;
     }
@@ -329,36 +333,38 @@
     auto& attempts = c.attempts[id];
     const auto number = static_cast<std::int32_t>(attempts.size());
     attempts.push_back({host, false});
-    const Time round = 2 * shape_.network;
+    const Time round_trip = 2 * shape_.network;
     std::size_t& idle = c.idle[host];
     if (idle > 0) {
       --idle;
     } else {
-      h.connects.note(now_ - kStart);
-      if (h.silent)
-        return later(c, now_ + std::min(limit, shape_.connect), [=, this, &c] {
-          end(c, id, number, Result::ConnectFailed, std::min(limit, shape_.connect));
+      h.connects.add(now_ - kStart);
+      if (h.unresponsive)
+        return later(c, now_ + std::min(limit, shape_.connect_timeout), [=, this, &c] {
+          end(c, id, number, Result::ConnectFailed, std::min(limit, shape_.connect_timeout));
         });
       if (!h.up || h.open >= shape_.connections)
-        return later(c, now_ + round, [=, this, &c] { end(c, id, number, Result::ConnectFailed, round); });
+        return later(c, now_ + round_trip,
+                     [=, this, &c] { end(c, id, number, Result::ConnectFailed, round_trip); });
       h.most_open = std::max(h.most_open, ++h.open);
       ++c.held[host];
     }
-    h.sends.note(now_ - kStart);
-    if (h.started != 0 && now_ - h.started < settings_.slow_start_duration) h.cold_sends.note(now_ - kStart);
-    if (!h.up) return later(c, now_ + round, [=, this, &c] { end(c, id, number, Result::Reset, round); });
+    h.sends.add(now_ - kStart);
+    if (h.started != 0 && now_ - h.started < settings_.slow_start_duration) h.cold_sends.add(now_ - kStart);
+    if (!h.up)
+      return later(c, now_ + round_trip, [=, this, &c] { end(c, id, number, Result::Reset, round_trip); });
     Time& core = *std::min_element(h.free_at.begin(), h.free_at.end());
     const Time begins = std::max(now_ + shape_.network, core);
     if (begins - now_ > static_cast<Time>(shape_.queue) * shape_.work / shape_.cores)
-      return later(c, now_ + round, [=, this, &c] { end(c, id, number, Result::Rejected, round); });
-    core =
-        begins + static_cast<Time>(static_cast<double>(drawn(static_cast<double>(shape_.work))) / warmth(h));
+      return later(c, now_ + round_trip, [=, this, &c] { end(c, id, number, Result::Rejected, round_trip); });
+    core = begins +
+           static_cast<Time>(static_cast<double>(exponential(static_cast<double>(shape_.work))) / speed(h));
     const Time taken = core - now_ + shape_.network;
     const Time sent = now_;
     if (taken <= limit) {
-      later(c, now_ + taken, [=, this, &c, life = h.life] {
-        if (hosts_[host].life != life) return end(c, id, number, Result::Reset, taken);
-        if (!hosts_[host].silent) return end(c, id, number, Result::Ok, taken);
+      later(c, now_ + taken, [=, this, &c, generation = h.generation] {
+        if (hosts_[host].generation != generation) return end(c, id, number, Result::Reset, taken);
+        if (!hosts_[host].unresponsive) return end(c, id, number, Result::Ok, taken);
         later(c, sent + limit, [=, this, &c] { end(c, id, number, Result::TimedOut, limit); });
       });
     } else {
@@ -366,7 +372,7 @@
     }
   }
 
-  double warmth(const Machine& h) const {
+  double speed(const Machine& h) const {
     if (h.started == 0) return 1;
     const double age =
         static_cast<double>(now_ - h.started) / static_cast<double>(settings_.slow_start_duration);
@@ -380,22 +386,22 @@
     const std::size_t host = a.host;
     if (result == Result::Ok || result == Result::Rejected) {
       ++c.idle[host];
-      later(c, now_ + shape_.idle, [this, &c, host] {
+      later(c, now_ + shape_.idle_timeout, [this, &c, host] {
         if (c.idle[host] == 0) return;
         --c.idle[host];
         close(c, host);
       });
     } else if (result != Result::ConnectFailed) {
-      close(c, host);  // given up by that
+      close(c, host);  // the connection is not usable any more
     }
-    answered_ += result == Result::Ok ? 1U : 0U;
+    successes_ += result == Result::Ok ? 1U : 0U;
     Outcome o;
     o.request = id;
     o.attempt = number;
     o.result = result;
     o.final = result == Result::Ok;
     o.latency = latency;
-    tell(c, [&](Actions& out) { c.balancer->onOutcome(now_, o, out); });
+    call(c, [&](Actions& out) { c.balancer->onOutcome(now_, o, out); });
   }
 
   void close(Client& c, std::size_t host) {
@@ -405,23 +411,25 @@
 
   void probe(Client& c, const std::string& id) {
     Machine& h = hosts_[index_.at(id)];
-    h.probes.note(now_ - kStart);
-    later(c, now_ + (h.silent ? shape_.connect : 2 * shape_.network), [this, &c, id, up = h.up && !h.silent] {
-      tell(c, [&](Actions& out) { c.balancer->onHealthCheck(now_, id, up, 2 * shape_.network, {}, out); });
-    });
+    h.probes.add(now_ - kStart);
+    later(c, now_ + (h.unresponsive ? shape_.connect_timeout : 2 * shape_.network),
+          [this, &c, id, up = h.up && !h.unresponsive] {
+            call(c,
+                 [&](Actions& out) { c.balancer->onHealthCheck(now_, id, up, 2 * shape_.network, {}, out); });
+          });
   }
 
-  // Calls are worked off in turn; one that would wait too long fails when its time is up.
+  // Discovery serves calls in the order of arrival; one that can't be served in time fails at its timeout.
   void subscribe(Client& c) {
-    calls_.note(now_ - kStart);
-    const Time cost = shape_.all_calls / static_cast<Time>(clients_.size());
-    const bool served = discovery_free_ + cost <= now_ + shape_.patience;
-    if (served) discovery_free_ = std::max(discovery_free_, now_) + cost;
-    later(c, served ? discovery_free_ : now_ + shape_.patience, [this, &c, served] {
+    calls_.add(now_ - kStart);
+    const Time service_time = shape_.all_calls / static_cast<Time>(clients_.size());
+    const bool served = discovery_free_ + service_time <= now_ + shape_.discovery_timeout;
+    if (served) discovery_free_ = std::max(discovery_free_, now_) + service_time;
+    later(c, served ? discovery_free_ : now_ + shape_.discovery_timeout, [this, &c, served] {
       c.watches = served;
-      const std::vector<Host> news = served ? list() : std::vector<Host>();
-      tell(c, [&](Actions& out) {
-        c.balancer->onServers(now_, served ? ListKind::Full : ListKind::Unavailable, news, out);
+      const std::vector<Host> hosts = served ? list() : std::vector<Host>();
+      call(c, [&](Actions& out) {
+        c.balancer->onServers(now_, served ? ListKind::Full : ListKind::Unavailable, hosts, out);
       });
     });
   }
@@ -430,7 +438,7 @@
   const Settings settings_;
   std::mt19937_64 random_;
   Time now_;
-  std::uint64_t order_ = 0, asked_ = 0, answered_ = 0;
+  std::uint64_t next_sequence_ = 0, requests_ = 0, successes_ = 0;
   std::uint32_t restarted_ = 0;
   double load_ = 1;
   std::priority_queue<Event> events_;
@@ -438,7 +446,7 @@
   std::unordered_map<std::string, std::size_t> index_;
   std::vector<Client> clients_;
   Time discovery_free_ = 0;
-  Count calls_, refused_, failed_;
+  Count calls_, rejected_, failed_;
 };
 
 }  // namespace load_balancer::test
