--- a/src/ownership/ownership_service.cpp
+++ b/src/ownership/ownership_service.cpp
@@ -232,9 +232,9 @@
 recovery::Facts OwnershipService::facts() const {
   const Time now = clock_.now();
   recovery::Facts facts;
-  facts.listed = has_hosts_();
-  facts.heard = member_->synchronized(now);
-  facts.heard_of = member_->synchronizedMembers();
+  facts.has_hosts = has_hosts_();
+  facts.synchronized = member_->synchronized(now);
+  facts.synchronized_members = member_->synchronizedMembers();
   facts.majority = member_->voters().majority();
   for (const ServiceSetting& service : settings_.own.services) {
     double priority_weight = 0;
@@ -314,9 +314,9 @@
   return prettyPrinted({{"stage", recovery::nameOf(recovery_.stage(now, current_facts))},
                         {"process_before", recovery::nameOf(recovery_.before())},
                         {"for_s", seconds(now - started_)},
-                        {"heard", current_facts.heard_of},
+                        {"heard", current_facts.synchronized_members},
                         {"majority", current_facts.majority},
-                        {"may_promise", current_facts.heard},
+                        {"may_promise", current_facts.synchronized},
                         {"memory", memory},
                         {"waits", waits}});
 }
--- a/tests/herd_test.cpp
+++ b/tests/herd_test.cpp
@@ -37,7 +37,7 @@
   // A client whose call fails retries after at least half a second, with increasing delays.
   EXPECT_LE(fleet.discoveryCalls().all() - before, 8 * fleet.restarted());
   EXPECT_EQ(fleet.watching(), GetParam().clients);
-  EXPECT_GT(static_cast<double>(fleet.answered()), 0.97 * static_cast<double>(fleet.asked()));
+  EXPECT_GT(static_cast<double>(fleet.successes()), 0.97 * static_cast<double>(fleet.requests()));
 }
 
 TEST_P(Herd, ClientRestartsOpenConnectionsToHostsOfTheSubsetOnly) {
@@ -94,7 +94,7 @@
     EXPECT_LE(host.probes.all(), 2 * clientsPerHost() * 8) << host.listed.id;
     EXPECT_LE(host.connects.most(), upperBound(clientsPerHost())) << host.listed.id;
   }
-  EXPECT_GT(static_cast<double>(fleet.answered()), 0.95 * static_cast<double>(fleet.asked()));
+  EXPECT_GT(static_cast<double>(fleet.successes()), 0.95 * static_cast<double>(fleet.requests()));
 }
 
 FleetModel::Shape shapeOf(std::uint32_t clients, std::uint32_t hosts, double rate) {
--- a/tests/zone_loss_test.cpp
+++ b/tests/zone_loss_test.cpp
@@ -35,23 +35,23 @@
   static RunCounts run(bool directed, std::uint64_t seed) {
     constexpr Time kDirectiveDelay = 1500 * kMs;
     FleetModel fleet(shape(), fleetSettings(), seed);
-    const auto lost = [&] { return fleet.refused().all() + fleet.failed().all(); };
+    const auto lost = [&] { return fleet.rejected().all() + fleet.failed().all(); };
     const auto inZone = [&](auto count) {
       std::uint32_t n = 0;
       for (const auto& h : fleet.hosts()) n += h.listed.zone == 1 ? count(h) : 0;
       return n;
     };
     fleet.runFor(20 * kSec);
-    fleet.silence(1, true);
+    fleet.setUnresponsive(1, true);
     fleet.runFor(kDirectiveDelay);
-    if (directed) fleet.order(1, ZoneDirective::Eject, 3);
+    if (directed) fleet.setZoneDirective(1, ZoneDirective::Eject, 3);
     const std::uint32_t before = lost(), probes = inZone([](auto&h) { return h.probes.all(); });
     fleet.runFor(10 * kSec - kDirectiveDelay);
     RunCounts counts;
     counts.lost = lost() - before;
     counts.probes = inZone([](auto& h) { return h.probes.all(); }) - probes;
-    fleet.silence(1, false);
-    if (directed) fleet.order(1, ZoneDirective::None, 0);
+    fleet.setUnresponsive(1, false);
+    if (directed) fleet.setZoneDirective(1, ZoneDirective::None, 0);
     const std::uint32_t sends = inZone([](auto& h) { return h.sends.all(); });
     fleet.runFor(10 * kSec);
     counts.used = inZone([](auto& h) { return h.sends.all(); }) - sends;
