--- a/src/consensus/include/consensus/node.h
+++ b/src/consensus/include/consensus/node.h
@@ -31,7 +31,7 @@
   Time nextTime() const;
 
   struct Peer {
-    std::optional<Time> heard;
+    std::optional<Time> last_contact;
     Version version = 0;  ///< the newest that it claimed in this life of ours
   };
   const std::map<ReplicaId, Peer>& peers() const { return peers_; }
--- a/src/consensus/include/consensus/types.h
+++ b/src/consensus/include/consensus/types.h
@@ -110,15 +110,15 @@
   /// For tests only: another size of a quorum, which is not safe.
   std::optional<std::size_t> quorum_override;
 
-  Time hello{1000};         ///< between two hellos to a peer
-  Time hello_joining{250};  ///< the same until this replica has joined
-  Time resend{300};         ///< of a proposal to those that have not answered
-  Time publish{5000};       ///< after so long a publish that is not decided is answered so
-  Time base_ahead{2000};    ///< how long a publish waits for a base that this replica does not have yet
-  Time back_off{30};        ///< at most, after the first lost duel; twice that after each further one
+  Time hello_interval{1000};         ///< between two hellos to a peer
+  Time hello_interval_joining{250};  ///< the same until this replica has joined
+  Time resend_interval{300};         ///< of a proposal to those that have not answered
+  Time publish_timeout{5000};        ///< after so long a publish that is not decided is answered so
+  Time base_wait{2000};  ///< how long a publish waits for a base that this replica does not have yet
+  Time back_off{30};     ///< at most, after the first lost duel; twice that after each further one
   Time back_off_limit{500};
-  Time heard{5000};                ///< a peer counts for a quorum so long after it was heard
-  Time fetch_again{500};           ///< a fetch that brought nothing is repeated
+  Time contact_timeout{5000};      ///< a peer counts for a quorum so long after it was heard
+  Time fetch_retry_interval{500};  ///< a fetch that brought nothing is repeated
   std::size_t max_publishes = 16;  ///< waiting at once
   std::size_t kept = 1000;         ///< changes
 };
--- a/src/consensus/node.cpp
+++ b/src/consensus/node.cpp
@@ -30,7 +30,7 @@
 
 void Node::sendHello(Time now, Output& out) {
   for (const ReplicaId peer : rules_.others) sendHello(peer, out);
-  next_hello_ = now + (membership_.joined() ? rules_.hello : rules_.hello_joining);
+  next_hello_ = now + (membership_.joined() ? rules_.hello_interval : rules_.hello_interval_joining);
 }
 
 void Node::sendHello(ReplicaId to, Output& out) {
@@ -39,7 +39,7 @@
 
 void Node::fetch(Time now, ReplicaId from, Output& out) {
   if (now < next_fetch_) return;
-  next_fetch_ = now + rules_.fetch_again;
+  next_fetch_ = now + rules_.fetch_retry_interval;
   out.messages.emplace_back(from, Fetch{history_.version() + 1});
 }
 
@@ -56,7 +56,7 @@
   if (from != rules_.self) {
     const auto peer = peers_.find(from);
     if (peer == peers_.end()) return;
-    peer->second.heard = now;
+    peer->second.last_contact = now;
   }
   std::visit([&](const auto& one) { on(now, from, one, out); }, message);
 }
@@ -165,7 +165,8 @@
 
 bool Node::quorum(Time now) const {
   std::size_t count = 1;
-  for (const auto& [id, peer] : peers_) count += peer.heard && now - *peer.heard <= rules_.heard ? 1 : 0;
+  for (const auto& [id, peer] : peers_)
+    count += peer.last_contact && now - *peer.last_contact <= rules_.contact_timeout ? 1 : 0;
   return membership_.joined() && count >= rules_.quorum();
 }
 
@@ -235,12 +236,12 @@
 
 bool Node::giveUp(Time now, const Publish& publish, Output& out) const {
   const Time waited = now - publish.since;
-  if (publish.request.base > history_.version() && waited >= rules_.base_ahead) {
+  if (publish.request.base > history_.version() && waited >= rules_.base_wait) {
     const ChangeHead* const newest = history_.newest();
     out.results.push_back({publish.token, Conflict{history_.version(), newest ? newest->author : ""}});
     return true;
   }
-  if (waited < rules_.publish) return false;
+  if (waited < rules_.publish_timeout) return false;
   out.results.push_back({publish.token, PublishRefused{PublishFault::NoQuorum, noQuorumDetail(now)}});
   return true;
 }
@@ -250,7 +251,8 @@
     return "this replica has not joined: it has to hear " + std::to_string(rules_.joinedAnswers()) +
            " joined replicas, or all";
   std::size_t heard = 1;
-  for (const auto& [id, peer] : peers_) heard += peer.heard && now - *peer.heard <= rules_.heard ? 1 : 0;
+  for (const auto& [id, peer] : peers_)
+    heard += peer.last_contact && now - *peer.last_contact <= rules_.contact_timeout ? 1 : 0;
   std::string detail = "heard " + std::to_string(heard) + " of " + std::to_string(peers_.size() + 1) +
                        " replicas, " + std::to_string(rules_.quorum()) + " have to vote";
   if (!acceptor_.votesIn(history_.version() + 1))
@@ -267,7 +269,7 @@
 // To all that have not answered in this phase. Where this replica alone is a quorum, the next phase begins
 // and ends within the last call.
 void Node::sendProposal(Time now, Output& out) {
-  next_send_ = now + rules_.resend;
+  next_send_ = now + rules_.resend_interval;
   const Message message =
       proposal_->preparing() ? Message(proposal_->prepare()) : Message(proposal_->accept());
   for (const ReplicaId peer : rules_.others) {
@@ -289,8 +291,8 @@
   if (proposal_) next = std::min(next, next_send_);
   if (publishes_.empty()) return next;
   const Publish& first = publishes_.front();
-  next = std::min(next, first.since + rules_.publish);
-  if (first.request.base > history_.version()) return std::min(next, first.since + rules_.base_ahead);
+  next = std::min(next, first.since + rules_.publish_timeout);
+  if (first.request.base > history_.version()) return std::min(next, first.since + rules_.base_wait);
   if (!proposal_ && mayPropose()) next = std::min(next, next_try_);
   return next;
 }
--- a/src/replica/replica_server.cpp
+++ b/src/replica/replica_server.cpp
@@ -180,14 +180,16 @@
 }
 
 Watches::Source ReplicaServer::Impl::watchSource() {
-  return {.newest = [this] { return engine_.newest(); },
-          .recent = [this](distribution::Version version) { return engine_.recent(version); },
-          .quorum = [this] { return engine_.quorum() || engine_.now() - started_ < settings_.rules.heard; },
-          .connection =
-              [this](distribution::MemberId member, bool connected) {
-                if (connected) return acknowledgements_.connected(engine_.now(), member);
-                acknowledgements_.disconnected(engine_.now(), member);
-              }};
+  return {
+      .newest = [this] { return engine_.newest(); },
+      .recent = [this](distribution::Version version) { return engine_.recent(version); },
+      .quorum =
+          [this] { return engine_.quorum() || engine_.now() - started_ < settings_.rules.contact_timeout; },
+      .connection =
+          [this](distribution::MemberId member, bool connected) {
+            if (connected) return acknowledgements_.connected(engine_.now(), member);
+            acknowledgements_.disconnected(engine_.now(), member);
+          }};
 }
 
 // ---- connections ----
@@ -363,8 +365,8 @@
     one.clock_ms_apart = peer.clock_ms_apart;
     if (engine_.node() != nullptr) {
       const consensus::Node::Peer& heard = engine_.node()->peers().at(id);
-      if (heard.heard) one.heard_ms_ago = (now - *heard.heard).count();
-      one.reachable = heard.heard && now - *heard.heard <= settings_.rules.heard;
+      if (heard.last_contact) one.heard_ms_ago = (now - *heard.last_contact).count();
+      one.reachable = heard.last_contact && now - *heard.last_contact <= settings_.rules.contact_timeout;
       one.version = heard.version;
     }
     status.peers.push_back(one);
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -145,9 +145,9 @@
     }
     settings.log = [this, id](const std::string& line) { logs[id - 1] += line + "\n"; };
     if (clocks[id - 1] != 0) settings.wall_clock = [this, id] { return clocks[id - 1]; };
-    settings.rules.hello = settings.rules.hello_joining = consensus::Time(50);
-    settings.rules.publish = settings.rules.heard = consensus::Time(1500);
-    settings.rules.base_ahead = consensus::Time(300);
+    settings.rules.hello_interval = settings.rules.hello_interval_joining = consensus::Time(50);
+    settings.rules.publish_timeout = settings.rules.contact_timeout = consensus::Time(1500);
+    settings.rules.base_wait = consensus::Time(300);
     settings.slow_subscriber = std::chrono::milliseconds(500);
     servers[id - 1] = std::make_unique<ReplicaServer>(io, settings);
   }
