--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -4,14 +4,14 @@
 
 namespace client_proxy::consensus {
 
-void Acceptor::open(Version slot) {
+void Acceptor::advanceTo(Version slot) {
   if (vote_.slot < slot) vote_ = Vote{.slot = slot, .promised = {}, .accepted = {}, .value = {}};
 }
 
 Acceptor::Answer Acceptor::onPrepare(const Prepare& prepare, bool& changed) {
   changed = false;
   if (!votesIn(prepare.slot) || vote_.slot > prepare.slot) return {};
-  open(prepare.slot);
+  advanceTo(prepare.slot);
   if (prepare.ballot < vote_.promised) return Rejected{prepare.slot, prepare.ballot, vote_.promised};
   changed = prepare.ballot != vote_.promised;
   vote_.promised = prepare.ballot;
@@ -21,7 +21,7 @@
 Acceptor::Answer Acceptor::onAccept(const Accept& accept, bool& changed) {
   changed = false;
   if (!votesIn(accept.slot) || vote_.slot > accept.slot) return {};
-  open(accept.slot);
+  advanceTo(accept.slot);
   if (accept.ballot < vote_.promised) return Rejected{accept.slot, accept.ballot, vote_.promised};
   changed = accept.ballot != vote_.accepted;
   vote_.promised = accept.ballot;
@@ -32,7 +32,7 @@
 
 void Acceptor::adopt(const Vote& known) {
   if (known.slot < vote_.slot) return;
-  open(known.slot);
+  advanceTo(known.slot);
   vote_.promised = std::max(vote_.promised, known.promised);
   if (known.accepted <= vote_.accepted) return;
   vote_.accepted = known.accepted;
--- a/src/consensus/history.cpp
+++ b/src/consensus/history.cpp
@@ -19,7 +19,7 @@
 const ChangeHead* History::find(Version version) const {
   const auto found =
       std::lower_bound(changes_.begin(), changes_.end(), version,
-                       [](const ChangeHead& head, Version wanted) { return head.version < wanted; });
+                       [](const ChangeHead& head, Version target) { return head.version < target; });
   return found != changes_.end() && found->version == version ? &*found : nullptr;
 }
 
--- a/src/consensus/include/consensus/output.h
+++ b/src/consensus/include/consensus/output.h
@@ -1,4 +1,4 @@
-// What a replica wants done after an event.
+// The effects that the consensus state machine requests from its caller after an event.
 #pragma once
 
 #include <utility>
@@ -7,40 +7,45 @@
 
 namespace client_proxy::consensus {
 
-/// The caller's name for one publish.
+/// Chosen by the caller to match the result of a publish with its request.
 using PublishToken = std::uint64_t;
 
+/// Why a publish has failed.
 enum class PublishFault : std::uint8_t { NoQuorum, IdReused, Busy };
+/// A publish that has failed; with NoQuorum its change may still be chosen later.
 struct PublishRefused {
   PublishFault fault = PublishFault::NoQuorum;
-  std::string detail;
+  std::string detail;  ///< for the publisher
 };
 using PublishOutcome = std::variant<distribution::Published, distribution::Conflict, PublishRefused>;
 
+/// A message to another replica.
 struct Outgoing {
   Outgoing(ReplicaId receiver, Message content) : to(receiver), message(std::move(content)) {}
   ReplicaId to;
   Message message;
 };
-/// Asks the caller to send kept changes from this one on, each as Chosen, as many as it sees fit.
+/// Requests that the caller sends the kept changes from `from` on, each as Chosen. The caller may limit how
+/// many it sends.
 struct SendChanges {
   ReplicaId to = 0;
   Version from = 0;
 };
+/// The result of the publish with this token.
 struct PublishResult {
   PublishToken token = 0;
   PublishOutcome outcome;
 };
 
-/// All of `writes` have to be on disk, as one transaction and after those of earlier outputs, before any
-/// other part of this output leaves the process. Outputs are carried out in their order.
+/// `writes` must be on disk, as one transaction and after those of earlier outputs, before any other part of
+/// this output leaves the process. Outputs are carried out in order.
 struct Output {
   std::vector<Write> writes;
   std::vector<Outgoing> messages;
   std::vector<SendChanges> changes;
   std::vector<PublishResult> results;
-  std::vector<Change> chosen;      ///< to be told to subscribers, ascending
-  std::vector<std::string> lines;  ///< for the log
+  std::vector<Change> chosen;      ///< to be sent to subscribers, ascending
+  std::vector<std::string> lines;  ///< log lines
 
   bool empty() const {
     return writes.empty() && messages.empty() && changes.empty() && results.empty() && chosen.empty() &&
--- a/src/consensus/include/consensus/proposal.h
+++ b/src/consensus/include/consensus/proposal.h
@@ -1,4 +1,4 @@
-// One try of a replica to have a change chosen in a slot, under one ballot.
+// The Paxos proposer: one attempt of a replica to have a change chosen in a slot, under one ballot.
 #pragma once
 
 #include <set>
@@ -7,12 +7,13 @@
 
 namespace client_proxy::consensus {
 
+/// Counts promises, then accepts, until a quorum is reached.
 class Proposal {
  public:
-  /// `own`: what is proposed where nobody has accepted anything yet.
+  /// `own`: the value that is proposed if no promise reports an accepted one.
   Proposal(Version slot, Ballot ballot, Change own, std::size_t quorum);
 
-  /// True: a quorum has promised, and accept() is what to ask for now.
+  /// True: a quorum has promised, and accept() is to be sent now.
   bool onPromise(ReplicaId from, const Promise& promise);
   /// True: a quorum has accepted; value() is chosen.
   bool onAccepted(ReplicaId from, const Accepted& accepted);
@@ -23,9 +24,9 @@
   Prepare prepare() const { return {slot_, ballot_}; }
   Accept accept() const { return {slot_, ballot_, value_}; }
   const Change& value() const { return value_; }
-  /// Whether this replica has answered in the phase that runs.
-  bool answered(ReplicaId replica) const;
-  std::size_t answers() const { return (accepting_ ? accepted_ : promised_).size(); }
+  /// Whether `replica` has replied in the current phase.
+  bool hasReplied(ReplicaId replica) const;
+  std::size_t replies() const { return (accepting_ ? accepted_ : promised_).size(); }
 
  private:
   Version slot_;
@@ -33,7 +34,7 @@
   Change value_;
   std::size_t quorum_;
   bool accepting_ = false;
-  Ballot highest_accepted_;  // of what the promises tell
+  Ballot highest_accepted_;  // among the promises so far
   std::set<ReplicaId> promised_, accepted_;
 };
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -14,20 +14,19 @@
       recovering_(state.recovering),
       first_vote_(state.first_vote),
       peers_(state.peers) {
-  if (recovering_)
-    fault_ = "old disk: the one found at an earlier start; it is not yet known where to vote again";
+  if (recovering_) fault_ = "old disk: found at an earlier start; the first slot to vote in is not known yet";
 }
 
-bool Membership::joinAlone() {
+bool Membership::joinWithoutPeers() {
   joined_ = rules_.others.empty();
   return joined_;
 }
 
 Hello Membership::hello(ReplicaId to, Version version, const Vote& vote) const {
-  const auto replaces = replaces_.find(to);
+  const auto replaces = replaced_runs_.find(to);
   return {.start_count = start_count_,
           .run = run_,
-          .replaces = replaces == replaces_.end() ? 0 : replaces->second,
+          .replaces = replaces == replaced_runs_.end() ? 0 : replaces->second,
           .recovering = recovering_,
           .joined = joined_,
           .abstaining = abstains(version + 1),
@@ -35,15 +34,15 @@
           .voted = std::max(version, vote.slot)};
 }
 
-bool Membership::enoughAnswers() const {
-  const auto joined = static_cast<std::size_t>(std::count_if(
-      answers_.begin(), answers_.end(), [](const auto& answer) { return answer.second.joined; }));
-  return joined >= rules_.joinedAnswers() || answers_.size() == rules_.others.size();
+bool Membership::enoughReplies() const {
+  const auto joined = static_cast<std::size_t>(
+      std::count_if(replies_.begin(), replies_.end(), [](const auto& reply) { return reply.second.joined; }));
+  return joined >= rules_.requiredJoinedReplies() || replies_.size() == rules_.others.size();
 }
 
 Version Membership::highestVoted() const {
   Version highest = 0;
-  for (const auto& [from, answer] : answers_) highest = std::max(highest, answer.voted);
+  for (const auto& [from, reply] : replies_) highest = std::max(highest, reply.voted);
   return highest;
 }
 
@@ -51,76 +50,76 @@
   return runs_.count(seen.run) == 0 || seen.version > disk_version_ || seen.voted > disk_voted_;
 }
 
-Membership::Verdict Membership::onHelloReply(ReplicaId from, const HelloReply& reply) {
-  if (reply.run != run_) return Verdict::Nothing;
+Membership::ReplyOutcome Membership::onHelloReply(ReplicaId from, const HelloReply& reply) {
+  if (reply.run != run_) return ReplyOutcome::Nothing;
   if (reply.seen.run == run_) {
-    answers_[from] = reply;
+    replies_[from] = reply;
     return join();
   }
-  replaces_[from] = reply.seen.run;
-  if (recovering_ || !contradicts(reply.seen)) return Verdict::AskAgain;
+  replaced_runs_[from] = reply.seen.run;
+  if (recovering_ || !contradicts(reply.seen)) return ReplyOutcome::RepeatHello;
   recover(from, reply.seen);
-  return Verdict::OldDisk;
+  return ReplyOutcome::OldDisk;
 }
 
-Membership::Verdict Membership::join() {
-  if (joined_ || !enoughAnswers()) return Verdict::Nothing;
-  // What it may have forgotten lies at most one slot behind a slot in which one of these has voted.
+Membership::ReplyOutcome Membership::join() {
+  if (joined_ || !enoughReplies()) return ReplyOutcome::Nothing;
+  // A vote that this replica has lost is at most one slot after a slot in which one of these peers has voted.
   if (recovering_) first_vote_ = std::max(first_vote_, highestVoted() + 2);
   recovering_ = false;
   joined_ = true;
-  return Verdict::Joined;
+  return ReplyOutcome::Joined;
 }
 
 std::optional<Vote> Membership::adopt(Version version) {
-  if (!abstains(version + 1) || answers_.size() < rules_.others.size()) return std::nullopt;
+  if (!abstains(version + 1) || replies_.size() < rules_.others.size()) return std::nullopt;
   Version newest = 0;
-  for (const auto& [from, answer] : answers_) newest = std::max(newest, answer.version);
+  for (const auto& [from, reply] : replies_) newest = std::max(newest, reply.version);
   if (version < newest) return std::nullopt;
   Vote known{.slot = version + 1, .promised = {}, .accepted = {}, .value = {}};
-  for (const auto& [from, answer] : answers_) {
-    if (answer.vote.slot != known.slot) continue;
-    known.promised = std::max(known.promised, answer.vote.promised);
-    if (answer.vote.accepted <= known.accepted) continue;
-    known.accepted = answer.vote.accepted;
-    known.value = answer.vote.value;
+  for (const auto& [from, reply] : replies_) {
+    if (reply.vote.slot != known.slot) continue;
+    known.promised = std::max(known.promised, reply.vote.promised);
+    if (reply.vote.accepted <= known.accepted) continue;
+    known.accepted = reply.vote.accepted;
+    known.value = reply.vote.value;
   }
   first_vote_ = known.slot;
   return known;
 }
 
 void Membership::recover(ReplicaId from, const PeerRecord& seen) {
-  fault_ = "old disk: replica " + std::to_string(from) + " has seen start count " +
+  fault_ = "old disk: replica " + std::to_string(from) + " has recorded start count " +
            std::to_string(seen.start_count) + " and version " + std::to_string(seen.version) +
-           " of this replica, its disk had start count " + std::to_string(start_count_ - 1);
+           " of this replica, but its disk had start count " + std::to_string(start_count_ - 1);
   start_count_ = std::max(start_count_, seen.start_count) + 1;
   recovering_ = true;
   joined_ = false;
-  answers_.clear();
+  replies_.clear();
 }
 
-Membership::Judged Membership::onHello(ReplicaId from, const Hello& hello, Version version,
-                                       const Vote& vote) {
+Membership::HelloResponse Membership::onHello(ReplicaId from, const Hello& hello, Version version,
+                                              const Vote& vote) {
   PeerRecord& record = peers_[from];
-  PeerRecord claimed{hello.start_count, hello.run, hello.version, hello.voted};
-  Judged judged;
+  PeerRecord reported{hello.start_count, hello.run, hello.version, hello.voted};
+  HelloResponse response;
   if (hello.run == record.run) {
-    claimed.version = std::max(claimed.version, record.version);
-    claimed.voted = std::max(claimed.voted, record.voted);
-    judged.recorded = claimed != record;
+    reported.version = std::max(reported.version, record.version);
+    reported.voted = std::max(reported.voted, record.voted);
+    response.record_changed = reported != record;
   } else {
-    judged.recorded = record.run == 0 || hello.replaces == record.run;
+    response.record_changed = record.run == 0 || hello.replaces == record.run;
   }
-  if (judged.recorded) record = claimed;
-  judged.reply = {.run = hello.run,
-                  .seen = record,
-                  .joined = joined_,
-                  .version = version,
-                  .voted = std::max({version, vote.slot, first_vote_ - 1}),
-                  .vote = {}};
-  if (hello.recovering || hello.abstaining) judged.reply.vote = vote;
-  judged.wanted = !hello.joined || hello.abstaining || hello.run != record.run;
-  return judged;
+  if (response.record_changed) record = reported;
+  response.reply = {.run = hello.run,
+                    .seen = record,
+                    .joined = joined_,
+                    .version = version,
+                    .voted = std::max({version, vote.slot, first_vote_ - 1}),
+                    .vote = {}};
+  if (hello.recovering || hello.abstaining) response.reply.vote = vote;
+  response.reply_needed = !hello.joined || hello.abstaining || hello.run != record.run;
+  return response;
 }
 
 }  // namespace client_proxy::consensus
--- a/src/consensus/node.cpp
+++ b/src/consensus/node.cpp
@@ -15,7 +15,7 @@
       history_(state.changes, rules.kept) {
   for (const ReplicaId peer : rules_.others) peers_[peer];
   acceptor_.onChosen(history_.version());
-  membership_.joinAlone();
+  membership_.joinWithoutPeers();
   out.writes.emplace_back(membership_.start());
   if (!membership_.fault().empty()) out.lines.push_back(membership_.fault());
   sendHello(now, out);
@@ -43,14 +43,14 @@
   out.messages.emplace_back(from, Fetch{history_.version() + 1});
 }
 
-void Node::fetchWhereBehind(Time now, Output& out) {
+void Node::fetchFromNewestPeer(Time now, Output& out) {
   const auto newest = std::max_element(peers_.begin(), peers_.end(), [](const auto& a, const auto& b) {
     return a.second.version < b.second.version;
   });
   if (newest != peers_.end() && behind(newest->second)) fetch(now, newest->first, out);
 }
 
-// ---- what others say ----
+// ---- received messages ----
 
 void Node::onMessage(Time now, ReplicaId from, const Message& message, Output& out) {
   if (from != rules_.self) {
@@ -73,7 +73,7 @@
   return membership_.joined();
 }
 
-void Node::say(Time now, ReplicaId to, Acceptor::Answer answer, bool changed, Output& out) {
+void Node::respond(Time now, ReplicaId to, Acceptor::Answer answer, bool changed, Output& out) {
   if (changed) out.writes.emplace_back(SaveVote{acceptor_.vote()});
   if (auto* const promise = std::get_if<Promise>(&answer)) send(now, to, std::move(*promise), out);
   if (auto* const accepted = std::get_if<Accepted>(&answer)) send(now, to, *accepted, out);
@@ -85,7 +85,7 @@
   if (!canVote(now, from, prepare.slot, out)) return;
   bool changed = false;
   Acceptor::Answer answer = acceptor_.onPrepare(prepare, changed);
-  say(now, from, std::move(answer), changed, out);
+  respond(now, from, std::move(answer), changed, out);
 }
 
 void Node::on(Time now, ReplicaId from, const Accept& accept, Output& out) {
@@ -93,7 +93,7 @@
   if (!canVote(now, from, accept.slot, out)) return;
   bool changed = false;
   Acceptor::Answer answer = acceptor_.onAccept(accept, changed);
-  say(now, from, std::move(answer), changed, out);
+  respond(now, from, std::move(answer), changed, out);
 }
 
 void Node::on(Time now, ReplicaId from, const Promise& promise, Output& out) {
@@ -118,8 +118,8 @@
   peer.version = std::max(peer.version, chosen.change.version);
   if (const ChangeHead* const known = history_.find(chosen.change.version)) {
     if (known->digest != chosen.change.digest)
-      out.lines.push_back("replica " + std::to_string(from) + " has another text under version " +
-                          std::to_string(known->version) + ", which must never be");
+      out.lines.push_back("replica " + std::to_string(from) + " has a different text for version " +
+                          std::to_string(known->version) + ": consensus is violated");
     return;
   }
   if (!history_.follows(chosen.change.version, chosen.oldest_kept)) {
@@ -127,7 +127,7 @@
     return;
   }
   learn(now, chosen.change, out);
-  next_fetch_ = now;  // it brought something: the next may follow at once
+  next_fetch_ = now;  // the fetch made progress: allow the next one immediately
 }
 
 void Node::on(Time /*now*/, ReplicaId from, const Fetch& fetch, Output& out) {
@@ -135,9 +135,9 @@
 }
 
 void Node::on(Time now, ReplicaId from, const Hello& hello, Output& out) {
-  Membership::Judged judged = membership_.onHello(from, hello, history_.version(), acceptor_.vote());
-  if (judged.recorded) out.writes.emplace_back(SavePeer{from, membership_.record(from)});
-  if (judged.wanted) out.messages.emplace_back(from, std::move(judged.reply));
+  Membership::HelloResponse response = membership_.onHello(from, hello, history_.version(), acceptor_.vote());
+  if (response.record_changed) out.writes.emplace_back(SavePeer{from, membership_.record(from)});
+  if (response.reply_needed) out.messages.emplace_back(from, std::move(response.reply));
   Peer& peer = peers_[from];
   peer.version = hello.version;
   if (behind(peer)) fetch(now, from, out);
@@ -145,22 +145,22 @@
 
 void Node::on(Time now, ReplicaId from, const HelloReply& reply, Output& out) {
   switch (membership_.onHelloReply(from, reply)) {
-    case Membership::Verdict::Nothing:
+    case Membership::ReplyOutcome::Nothing:
       return endAbstention(out);
-    case Membership::Verdict::AskAgain:
+    case Membership::ReplyOutcome::RepeatHello:
       return sendHello(from, out);
-    case Membership::Verdict::OldDisk:
+    case Membership::ReplyOutcome::OldDisk:
       abandonProposal(now);
       out.lines.push_back(membership_.fault());
       break;
-    case Membership::Verdict::Joined:
+    case Membership::ReplyOutcome::Joined:
       acceptor_.setFirstVote(membership_.firstVote());
       endAbstention(out);
       break;
   }
   out.writes.emplace_back(membership_.start());
   sendHello(now, out);
-  workOnPublishes(now, out);
+  processPublishes(now, out);
 }
 
 bool Node::quorum(Time now) const {
@@ -187,12 +187,12 @@
   out.writes.emplace_back(SaveChosen{change});
   endAbstention(out);
   out.chosen.push_back(change);
-  next_hello_ = now;  // peers keep what is claimed: a disk from before this change is known at once
+  next_hello_ = now;  // peers record the new version, so that they detect an older disk right away
   if (proposal_ && proposal_->slot() <= change.version) {
     abandonProposal(now);
-    lost_duels_ = 0;
+    consecutive_rejections_ = 0;
   }
-  workOnPublishes(now, out);
+  processPublishes(now, out);
 }
 
 void Node::abandonProposal(Time next_try) {
@@ -201,7 +201,7 @@
 }
 
 Time Node::backOff() {
-  const int doublings = std::min(lost_duels_++, 10);
+  const int doublings = std::min(consecutive_rejections_++, 10);
   const Time most = std::min(rules_.back_off * (1 << doublings), rules_.back_off_limit);
   return Time(1 + random_.below(static_cast<std::uint32_t>(most.count())));
 }
@@ -209,32 +209,32 @@
 void Node::publish(Time now, PublishToken token, distribution::PublishRequest request,
                    std::int64_t published_ms, Output& out) {
   if (publishes_.size() >= rules_.max_publishes) {
-    out.results.push_back({token, PublishRefused{PublishFault::Busy, "too many publishes wait"}});
+    out.results.push_back({token, PublishRefused{PublishFault::Busy, "too many publishes are waiting"}});
     return;
   }
   publishes_.push_back({token, std::move(request), published_ms, now});
-  workOnPublishes(now, out);
+  processPublishes(now, out);
 }
 
-void Node::workOnPublishes(Time now, Output& out) {
+void Node::processPublishes(Time now, Output& out) {
   while (!publishes_.empty()) {
     const Publish& first = publishes_.front();
     if (auto outcome = outcomeOf(first.request, history_)) {
       out.results.push_back({first.token, std::move(*outcome)});
-    } else if (!giveUp(now, first, out)) {
+    } else if (!rejectIfExpired(now, first, out)) {
       break;
     }
-    // Whatever of it is on its way may still be chosen, as a publisher who gets no answer has to expect.
+    // Messages of this proposal that are under way may still have it chosen; the NoQuorum result covers that.
     abandonProposal(next_try_);
     publishes_.pop_front();
   }
   if (publishes_.empty() || proposal_ || now < next_try_ || !mayPropose()) return;
   const Publish& first = publishes_.front();
-  if (first.request.base > history_.version()) return fetchWhereBehind(now, out);
+  if (first.request.base > history_.version()) return fetchFromNewestPeer(now, out);
   propose(now, first, out);
 }
 
-bool Node::giveUp(Time now, const Publish& publish, Output& out) const {
+bool Node::rejectIfExpired(Time now, const Publish& publish, Output& out) const {
   const Time waited = now - publish.since;
   if (publish.request.base > history_.version() && waited >= rules_.base_wait) {
     const ChangeHead* const newest = history_.newest();
@@ -248,16 +248,17 @@
 
 std::string Node::noQuorumDetail(Time now) const {
   if (!membership_.joined())
-    return "this replica has not joined: it has to hear " + std::to_string(rules_.joinedAnswers()) +
-           " joined replicas, or all";
-  std::size_t heard = 1;
+    return "this replica has not joined: it needs replies from " +
+           std::to_string(rules_.requiredJoinedReplies()) + " joined replicas, or from all";
+  std::size_t reachable = 1;
   for (const auto& [id, peer] : peers_)
-    heard += peer.last_contact && now - *peer.last_contact <= rules_.contact_timeout ? 1 : 0;
-  std::string detail = "heard " + std::to_string(heard) + " of " + std::to_string(peers_.size() + 1) +
-                       " replicas, " + std::to_string(rules_.quorum()) + " have to vote";
+    reachable += peer.last_contact && now - *peer.last_contact <= rules_.contact_timeout ? 1 : 0;
+  std::string detail = "in contact with " + std::to_string(reachable) + " of " +
+                       std::to_string(peers_.size() + 1) + " replicas, " + std::to_string(rules_.quorum()) +
+                       " are required for a quorum";
   if (!acceptor_.votesIn(history_.version() + 1))
-    detail += "; this one votes from version " + std::to_string(acceptor_.firstVote()) + " on";
-  return detail + "; it may yet be chosen: ask again with the same id";
+    detail += "; this replica votes only from version " + std::to_string(acceptor_.firstVote()) + " on";
+  return detail + "; the change may still be chosen: retry with the same id";
 }
 
 void Node::propose(Time now, const Publish& publish, Output& out) {
@@ -266,16 +267,16 @@
   sendProposal(now, out);
 }
 
-// To all that have not answered in this phase. Where this replica alone is a quorum, the next phase begins
-// and ends within the last call.
+// Sends to all replicas that have not replied in this phase. If this replica alone is a quorum, the last call
+// runs the next phase to its end.
 void Node::sendProposal(Time now, Output& out) {
   next_send_ = now + rules_.resend_interval;
   const Message message =
       proposal_->preparing() ? Message(proposal_->prepare()) : Message(proposal_->accept());
   for (const ReplicaId peer : rules_.others) {
-    if (!proposal_->answered(peer)) out.messages.emplace_back(peer, message);
+    if (!proposal_->hasReplied(peer)) out.messages.emplace_back(peer, message);
   }
-  if (!proposal_->answered(rules_.self)) send(now, rules_.self, message, out);
+  if (!proposal_->hasReplied(rules_.self)) send(now, rules_.self, message, out);
 }
 
 // ---- time ----
@@ -283,7 +284,7 @@
 void Node::onTime(Time now, Output& out) {
   if (now >= next_hello_) sendHello(now, out);
   if (proposal_ && now >= next_send_) sendProposal(now, out);
-  workOnPublishes(now, out);
+  processPublishes(now, out);
 }
 
 Time Node::nextTime() const {
--- a/src/consensus/proposal.cpp
+++ b/src/consensus/proposal.cpp
@@ -24,7 +24,7 @@
   return accepted_.size() >= quorum_;
 }
 
-bool Proposal::answered(ReplicaId replica) const {
+bool Proposal::hasReplied(ReplicaId replica) const {
   return (accepting_ ? accepted_ : promised_).count(replica) > 0;
 }
 
--- a/src/consensus/publishes.cpp
+++ b/src/consensus/publishes.cpp
@@ -10,9 +10,9 @@
 std::optional<PublishOutcome> outcomeOf(const distribution::PublishRequest& request, const History& history) {
   if (const ChangeHead* const head = history.findId(request.id)) {
     if (head->digest == distribution::digestOf(request.text)) return Published{head->version, head->digest};
-    return PublishRefused{
-        PublishFault::IdReused,
-        "the id is that of version " + std::to_string(head->version) + ", which has another text"};
+    return PublishRefused{PublishFault::IdReused, "the id was already used for version " +
+                                                      std::to_string(head->version) +
+                                                      ", which has a different text"};
   }
   if (request.base < history.version()) return Conflict{history.version(), history.newest()->author};
   return std::nullopt;
--- a/tests/consensus_sim.h
+++ b/tests/consensus_sim.h
@@ -1,6 +1,6 @@
-// Four replicas in one process: messages are lost, doubled and overtaken, machines stop between a write and
-// what depends on it, regions are cut, disks are full, old or empty. What must hold is checked at each thing
-// that any of them tells to anyone.
+// A simulation of four replicas in one process. Messages are lost, duplicated and reordered, machines crash
+// between a write and the messages that depend on it, regions are partitioned, disks are full, old or empty.
+// The invariants are checked on everything that a replica reports to a publisher or a subscriber.
 #pragma once
 
 #include <deque>
@@ -17,26 +17,27 @@
 
 namespace client_proxy::consensus::test {
 
-/// What is broken on purpose, to see that the checker sees it.
+/// Deliberate faults in the protocol, each of which the checker has to detect.
 struct Mutations {
   bool quorum_of_two = false;
-  bool send_before_disk = false;         // messages and results leave before the write
-  bool tell_before_disk = false;         // subscribers are told before the write
-  bool promises_without_values = false;  // what was accepted is not told to a proposer
-  bool accept_any_ballot = false;        // an accept is not held against the promise
-  bool no_join_rule = false;             // a replica votes at once after a start, and nobody notices its disk
-  bool new_id_at_each_try = false;       // a repeated publish is a new one
-  bool votes_not_told = false;           // to a replica that has forgotten its own
-  bool slots_not_told = false;           // where others have voted, to the same
-  bool learn_anything = false;           // a change is taken without those before it
+  bool send_before_disk = false;         // messages and results are sent before the write
+  bool notify_before_disk = false;       // subscribers are notified before the write
+  bool promises_without_values = false;  // promises omit the accepted value
+  bool accept_any_ballot = false;        // accepts are not checked against the promise
+  bool no_join_rule = false;  // a replica votes right after a start, and an old disk is not detected
+  bool new_id_at_each_attempt = false;  // a repeated publish is sent with a new id
+  bool omit_votes = false;        // hello replies omit the vote, which a replica needs that has lost its own
+  bool omit_voted_slots = false;  // hello replies omit the highest slot with a vote
+  bool accept_gaps = false;       // a change is accepted without those before it
 };
 
+/// Collects what the replicas report and records each violated invariant.
 class Checker {
  public:
-  /// Somebody was told that this is the change of that version.
-  void told(const Change& change) { told(change.version, change.id, change.digest); }
-  void told(Version version, const std::string& id, const std::string& digest) {
-    const auto [at, first] = texts_.try_emplace(version, std::make_pair(id, digest));
+  /// A publisher or a subscriber has received this change under its version.
+  void recordText(const Change& change) { recordText(change.version, change.id, change.digest); }
+  void recordText(Version version, const std::string& id, const std::string& digest) {
+    const auto [at, first] = known_texts_.try_emplace(version, std::make_pair(id, digest));
     if (!first && at->second != std::make_pair(id, digest))
       violation("two texts under version " + std::to_string(version));
     const auto [same, once] = versions_.try_emplace(id, version);
@@ -44,21 +45,22 @@
   }
   void acknowledged(const std::string& publish, const distribution::Published& published) {
     const Version version = published.version;
-    told(version, publish, published.digest);
+    recordText(version, publish, published.digest);
     acknowledged_digests_[version] = published.digest;
     const auto [at, first] = acknowledged_.try_emplace(publish, version);
-    if (!first && at->second != version) violation("publish " + publish + " was told two versions");
+    if (!first && at->second != version)
+      violation("publish " + publish + " was acknowledged with two versions");
   }
-  void atSubscribers(ReplicaId replica, Version version, bool disk_replaced) {
-    Version& last = shown_[replica];
+  void onSubscribersNotified(ReplicaId replica, Version version, bool disk_replaced) {
+    Version& last = notified_[replica];
     if (version < last && !disk_replaced)
       violation("replica " + std::to_string(replica) + " went back from " + std::to_string(last) + " to " +
                 std::to_string(version));
     last = version;
   }
   void violation(const std::string& what) { violations.insert(what); }
-  /// Once all have healed: what replicas hold now.
-  void atEnd(const std::vector<const History*>& histories) {
+  /// Called after all faults have ended and all replicas have caught up, with their histories.
+  void checkFinalState(const std::vector<const History*>& histories) {
     for (const History* history : histories) {
       for (const auto& [publish, version] : acknowledged_) {
         if (history->find(version) == nullptr)
@@ -69,22 +71,23 @@
       }
     }
     Version expected = 1;
-    for (const auto& [version, text] : texts_) {
+    for (const auto& [version, text] : known_texts_) {
       if (version != expected++) violation("a gap before version " + std::to_string(version));
     }
   }
 
   std::set<std::string> violations;
-  Version newest() const { return texts_.empty() ? 0 : texts_.rbegin()->first; }
+  Version newest() const { return known_texts_.empty() ? 0 : known_texts_.rbegin()->first; }
   std::size_t acknowledgedCount() const { return acknowledged_.size(); }
 
  private:
-  std::map<Version, std::pair<std::string, std::string>> texts_;
+  std::map<Version, std::pair<std::string, std::string>> known_texts_;
   std::map<std::string, Version> versions_, acknowledged_;
   std::map<Version, std::string> acknowledged_digests_;
-  std::map<ReplicaId, Version> shown_;
+  std::map<ReplicaId, Version> notified_;
 };
 
+/// The durable state of one replica.
 struct Disk {
   DurableState state;
   std::map<Version, Change> texts;
@@ -109,10 +112,11 @@
   Version version() const { return state.version(); }
 };
 
+/// The simulated replicas, their disks and the network between them. Time advances in steps of 1 ms.
 class ReplicaGroup {
  public:
   struct Faults {
-    double loss = 0, doubled = 0, late = 0;
+    double loss = 0, duplicated = 0, delayed = 0;  // probabilities for each message
   };
 
   ReplicaGroup(std::size_t count, std::uint64_t seed, Mutations mutations = {})
@@ -123,16 +127,16 @@
   // ---- faults ----
 
   Faults faults;
-  std::function<bool(ReplicaId, ReplicaId)> cut = [](ReplicaId, ReplicaId) { return false; };
-  std::set<ReplicaId> full;  // disks
-  Time disk_time{8};         // at most, of one write
+  std::function<bool(ReplicaId, ReplicaId)> isCut = [](ReplicaId, ReplicaId) { return false; };
+  std::set<ReplicaId> full_disks;  // replicas whose disk is full
+  Time disk_time{8};               // the longest duration of one write
 
   void crash(ReplicaId id) {
     Machine& m = machine(id);
     m.node.reset();
-    m.waiting.clear();
+    m.pending.clear();
     m.restart = Time(0);
-    for (const std::size_t number : std::exchange(m.publishing, {})) tries[number].done = true;
+    for (const std::size_t number : std::exchange(m.publishing, {})) attempts[number].done = true;
   }
   void start(ReplicaId id) {
     Machine& m = machine(id);
@@ -144,46 +148,46 @@
     }
     if (mutations_.quorum_of_two) rules.quorum_override = 2;
     const Version version = m.disk.version();
-    checker.atSubscribers(id, version, m.replaced);
+    checker.onSubscribersNotified(id, version, m.replaced);
     Output out;
     m.run = random_.next();
     m.node = std::make_unique<Node>(rules, m.disk.state, m.run, now, out);
-    take(id, std::move(out));
+    processOutput(id, std::move(out));
   }
   Disk diskOf(ReplicaId id) { return machine(id).disk; }
-  /// Stops the machine; start() follows with that disk.
+  /// Crashes the replica; the next start() uses `disk`.
   void replaceDisk(ReplicaId id, Disk disk) {
     crash(id);
     Machine& m = machine(id);
     m.replaced = true;
-    m.named = false;
-    m.has_to_name = m.joined_run != 0 && disk.state.runs.count(m.joined_run) == 0;
+    m.fault_reported = false;
+    m.must_report_fault = m.joined_run != 0 && disk.state.runs.count(m.joined_run) == 0;
     m.disk = std::move(disk);
   }
 
   // ---- publishing ----
 
-  struct Try {
+  struct Attempt {
     std::string id;
     bool done = false;
-    std::optional<PublishOutcome> outcome;  // nothing: the replica is gone
+    std::optional<PublishOutcome> outcome;  // none: the replica has crashed
   };
-  /// `again`: an earlier try, whose id and text are repeated.
+  /// Returns the number of the attempt. `again`: an earlier attempt whose id and text are repeated.
   std::size_t publish(ReplicaId at, std::optional<std::size_t> again = {}) {
-    const std::size_t number = tries.size();
-    const std::string id = again ? tries[*again].id : idOf(number);
-    tries.push_back({id, false, {}});
+    const std::size_t number = attempts.size();
+    const std::string id = again ? attempts[*again].id : idOf(number);
+    attempts.push_back({id, false, {}});
     Machine& m = machine(at);
     if (!m.node) return number;
-    const std::string sent = mutations_.new_id_at_each_try ? idOf(number) : id;
+    const std::string sent = mutations_.new_id_at_each_attempt ? idOf(number) : id;
     m.publishing.push_back(number);
     Output out;
     m.node->publish(now, number, {sent, "author", m.node->history().version(), "text of " + id}, 0, out);
-    take(at, std::move(out));
+    processOutput(at, std::move(out));
     return number;
   }
   bool succeeded(std::size_t number) const {
-    const auto& outcome = tries[number].outcome;
+    const auto& outcome = attempts[number].outcome;
     return outcome && std::holds_alternative<distribution::Published>(*outcome);
   }
 
@@ -194,6 +198,7 @@
     const Time end = now + time;
     while (now < end) step();
   }
+  /// Returns whether `holds` came true within `most`.
   bool runUntil(const std::function<bool()>& holds, Time most = Time(20'000)) {
     for (const Time end = now + most; now < end;) {
       step();
@@ -201,18 +206,18 @@
     }
     return false;
   }
-  /// Publishes at `at` until it is chosen, as a publisher would who repeats.
+  /// Publishes at `at`, with a new publish after each failure, until one is chosen.
   bool publishUntilChosen(ReplicaId at, Time most = Time(30'000)) {
     std::size_t number = publish(at);
     return runUntil(
         [&] {
           if (succeeded(number)) return true;
-          if (tries[number].done || !up(at)) number = publish(at);
+          if (attempts[number].done || !up(at)) number = publish(at);
           return false;
         },
         most);
   }
-  /// Until all hold the newest and have joined.
+  /// Runs until all replicas have joined and hold the newest version.
   bool settle(Time most = Time(30'000)) {
     return runUntil(
         [&] {
@@ -224,13 +229,13 @@
         },
         most);
   }
-  void checkEnd() {
+  void checkFinalState() {
     std::vector<const History*> all;
     for (const Machine& m : machines_) all.push_back(&m.node->history());
-    checker.atEnd(all);
+    checker.checkFinalState(all);
   }
 
-  // ---- what came of it ----
+  // ---- state and results ----
 
   Node& node(ReplicaId id) { return *machine(id).node; }
   bool up(ReplicaId id) { return machine(id).node != nullptr; }
@@ -238,24 +243,24 @@
   load_balancer::Random& random() { return random_; }
   const std::vector<std::string>& lines(ReplicaId id) { return machine(id).lines; }
   Checker checker;
-  std::vector<Try> tries;
+  std::vector<Attempt> attempts;
 
  private:
-  struct Waiting {
+  struct PendingOutput {
     Time ready;
     Output out;
   };
   struct Machine {
     std::unique_ptr<Node> node;
     Disk disk;
-    std::deque<Waiting> waiting;            // for the disk, in order
-    bool replaced = false;                  // the disk, by one that may be older
-    bool named = false;                     // the replica has said so
-    bool has_to_name = false;               // it has voted in a later life than the disk's
-    std::uint64_t run = 0, joined_run = 0;  // of this life, and of the last that voted
+    std::deque<PendingOutput> pending;      // outputs whose write is pending, in order
+    bool replaced = false;                  // the disk was replaced by one that may be older
+    bool fault_reported = false;            // the replica has reported the old disk
+    bool must_report_fault = false;         // it has voted in a run that the disk doesn't have
+    std::uint64_t run = 0, joined_run = 0;  // of the current start, and of the last one that joined
     std::vector<std::string> lines;
-    std::vector<std::size_t> publishing;  // tries that it has not answered, or had
-    Time restart{0};                      // after a write that failed
+    std::vector<std::size_t> publishing;  // attempts without a result
+    Time restart{0};                      // when it restarts after a failed write; 0: not due
   };
   struct Delivery {
     Time when;
@@ -275,10 +280,10 @@
     while (!deliveries_.empty() && deliveries_.top().when <= now) {
       const Delivery delivery = deliveries_.top();
       deliveries_.pop();
-      if (!up(delivery.to) || cut(delivery.from, delivery.to)) continue;
+      if (!up(delivery.to) || isCut(delivery.from, delivery.to)) continue;
       Output out;
       machine(delivery.to).node->onMessage(now, delivery.from, delivery.message, out);
-      take(delivery.to, std::move(out));
+      processOutput(delivery.to, std::move(out));
     }
     for (ReplicaId id = 1; id <= machines_.size(); ++id) stepOf(id);
   }
@@ -292,53 +297,53 @@
     if (m.node && m.node->nextTime() <= now) {
       Output out;
       m.node->onTime(now, out);
-      take(id, std::move(out));
+      processOutput(id, std::move(out));
     }
-    while (m.node && !m.waiting.empty() && m.waiting.front().ready <= now) finishWrite(id);
+    while (m.node && !m.pending.empty() && m.pending.front().ready <= now) finishWrite(id);
   }
 
-  void take(ReplicaId id, Output out) {
+  void processOutput(ReplicaId id, Output out) {
     if (out.empty()) return;
     Machine& m = machine(id);
-    if (mutations_.send_before_disk) tellOthers(id, out);
-    if (mutations_.tell_before_disk) tellSubscribers(id, out);
+    if (mutations_.send_before_disk) sendMessages(id, out);
+    if (mutations_.notify_before_disk) notifySubscribers(id, out);
     const Time took =
         out.writes.empty()
             ? Time(0)
             : disk_time / 2 + Time(1 + random_.below(static_cast<std::uint32_t>(disk_time.count() / 2)));
-    const Time free = m.waiting.empty() ? now : m.waiting.back().ready;
-    m.waiting.push_back({std::max(now, free) + took, std::move(out)});
-    while (m.node && !m.waiting.empty() && m.waiting.front().ready <= now) finishWrite(id);
+    const Time free = m.pending.empty() ? now : m.pending.back().ready;
+    m.pending.push_back({std::max(now, free) + took, std::move(out)});
+    while (m.node && !m.pending.empty() && m.pending.front().ready <= now) finishWrite(id);
   }
 
   void finishWrite(ReplicaId id) {
     Machine& m = machine(id);
-    Output out = std::move(m.waiting.front().out);
-    m.waiting.pop_front();
-    if (!out.writes.empty() && full.count(id) > 0) {
+    Output out = std::move(m.pending.front().out);
+    m.pending.pop_front();
+    if (!out.writes.empty() && full_disks.count(id) > 0) {
       crash(id);
       m.restart = now + Time(1000);
       return;
     }
     for (const Write& write : out.writes) m.disk.apply(write);
     for (const std::string& line : out.lines) {
-      m.named = m.named || line.rfind("old disk", 0) == 0;
+      m.fault_reported = m.fault_reported || line.rfind("old disk", 0) == 0;
       m.lines.push_back(line);
     }
-    if (m.node->joined() && m.waiting.empty()) joined(id);  // what it said before is out
-    if (!mutations_.send_before_disk) tellOthers(id, out);
-    if (!mutations_.tell_before_disk) tellSubscribers(id, out);
+    if (m.node->joined() && m.pending.empty()) joined(id);  // all earlier outputs are sent
+    if (!mutations_.send_before_disk) sendMessages(id, out);
+    if (!mutations_.notify_before_disk) notifySubscribers(id, out);
   }
 
   void joined(ReplicaId id) {
     Machine& m = machine(id);
     m.joined_run = m.run;
-    if (m.has_to_name && !m.named)
-      checker.violation("replica " + std::to_string(id) + " votes with an old disk and has not named it");
-    m.replaced = m.has_to_name = false;
+    if (m.must_report_fault && !m.fault_reported)
+      checker.violation("replica " + std::to_string(id) + " votes with an old disk that it has not reported");
+    m.replaced = m.must_report_fault = false;
   }
 
-  void tellOthers(ReplicaId id, const Output& out) {
+  void sendMessages(ReplicaId id, const Output& out) {
     for (const Outgoing& outgoing : out.messages) post(id, outgoing.to, outgoing.message);
     for (const SendChanges& request : out.changes) {
       for (const auto& [version, change] : machine(id).disk.texts) {
@@ -347,26 +352,26 @@
       }
     }
     for (const PublishResult& result : out.results) {
-      Try& mine = tries[result.token];
-      mine.done = true;
-      mine.outcome = result.outcome;
+      Attempt& attempt = attempts[result.token];
+      attempt.done = true;
+      attempt.outcome = result.outcome;
       if (const auto* published = std::get_if<distribution::Published>(&result.outcome))
-        checker.acknowledged(mine.id, *published);
+        checker.acknowledged(attempt.id, *published);
     }
   }
 
-  void tellSubscribers(ReplicaId id, const Output& out) {
+  void notifySubscribers(ReplicaId id, const Output& out) {
     for (const Change& change : out.chosen) {
-      checker.told(change);
-      checker.atSubscribers(id, change.version, machine(id).replaced);
+      checker.recordText(change);
+      checker.onSubscribersNotified(id, change.version, machine(id).replaced);
     }
   }
 
   void post(ReplicaId from, ReplicaId to, Message message) {
     mutate(message);
-    const int copies = random_.unit() < faults.loss ? 0 : random_.unit() < faults.doubled ? 2 : 1;
+    const int copies = random_.unit() < faults.loss ? 0 : random_.unit() < faults.duplicated ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
-      const Time delay(1 + random_.below(random_.unit() < faults.late ? 2000 : 20));
+      const Time delay(1 + random_.below(random_.unit() < faults.delayed ? 2000 : 20));
       deliveries_.push({now + delay, order_++, from, to, message});
     }
   }
@@ -383,11 +388,11 @@
       reply->joined = true;
       reply->version = reply->voted = 0;
     }
-    if (auto* const reply = std::get_if<HelloReply>(&message); reply && mutations_.votes_not_told)
+    if (auto* const reply = std::get_if<HelloReply>(&message); reply && mutations_.omit_votes)
       reply->vote = {};
-    if (auto* const reply = std::get_if<HelloReply>(&message); reply && mutations_.slots_not_told)
+    if (auto* const reply = std::get_if<HelloReply>(&message); reply && mutations_.omit_voted_slots)
       reply->voted = 0;
-    if (auto* const chosen = std::get_if<Chosen>(&message); chosen && mutations_.learn_anything)
+    if (auto* const chosen = std::get_if<Chosen>(&message); chosen && mutations_.accept_gaps)
       chosen->oldest_kept = chosen->change.version;
   }
 
