--- a/src/distribution/codec.cpp
+++ b/src/distribution/codec.cpp
@@ -12,15 +12,15 @@
 
 constexpr std::size_t kMaxRegionBytes = 200;
 constexpr std::size_t kMaxFaults = 64, kMaxPeers = 64, kMaxMembers = 10'000;
-constexpr std::size_t kMaxStatusBytes = std::size_t{16} << 20;  // of 10,000 members with a refusal each
+constexpr std::size_t kMaxStatusBytes = std::size_t{16} << 20;  // for kMaxMembers members with a refusal each
 constexpr std::uint64_t kMaxReplicaId = std::numeric_limits<ReplicaId>::max();
 constexpr std::uint64_t kMaxMemberId = std::numeric_limits<MemberId>::max();
 
-void holdAgainstDigest(const std::string& text, const std::string& digest) {
-  if (digestOf(text) != digest) throw CodecError("digest", "is not that of the text");
+void verifyDigest(const std::string& text, const std::string& digest) {
+  if (digestOf(text) != digest) throw CodecError("digest", "does not match the text");
 }
 
-// What Change and ChangeNotice have in common.
+// The fields that Change and ChangeNotice have in common.
 template <typename T>
 json headToJson(const T& change) {
   return {{"version", change.version}, {"id", change.id},
@@ -62,18 +62,18 @@
   return {{"version", refused->version}, {"digest", refused->digest}, {"error", refused->error}};
 }
 
-std::optional<Refusal> refusalFromJson(const JsonObject& holder) {
-  if (!holder.has("refused")) return std::nullopt;
-  const JsonObject refused = holder.object("refused");
+std::optional<Refusal> refusalFromJson(const JsonObject& parent) {
+  if (!parent.has("refused")) return std::nullopt;
+  const JsonObject refused = parent.object("refused");
   return Refusal{refused.number("version"), refused.hexDigest("digest"),
                  refused.text("error", kMaxErrorBytes)};
 }
 
 json toJson(const std::optional<std::int64_t>& number) { return number ? json(*number) : json(nullptr); }
 
-std::optional<std::int64_t> optionalNumber(const JsonObject& holder, const char* key) {
-  if (!holder.has(key)) return std::nullopt;
-  return holder.signedNumber(key);
+std::optional<std::int64_t> optionalNumber(const JsonObject& parent, const char* key) {
+  if (!parent.has(key)) return std::nullopt;
+  return parent.signedNumber(key);
 }
 
 json toJson(const PeerStatus& peer) {
@@ -133,7 +133,7 @@
     return notice;
   }
   std::string text = object.text("text", kMaxTextBytes);
-  holdAgainstDigest(text, notice.digest);
+  verifyDigest(text, notice.digest);
   notice.content = std::move(text);
   return notice;
 }
@@ -149,7 +149,7 @@
 Change changeFromJson(const JsonObject& object) {
   auto change = headFromJson<Change>(object);
   change.text = object.text("text", kMaxTextBytes);
-  holdAgainstDigest(change.text, change.digest);
+  verifyDigest(change.text, change.digest);
   return change;
 }
 
--- a/src/distribution/include/distribution/codec.h
+++ b/src/distribution/include/distribution/codec.h
@@ -1,7 +1,7 @@
-// The JSON form of what replicas, subscribers and commands say to each other.
+// The JSON form of the messages between replicas, subscribers and commands.
 //
-// format...() throws CodecError where a string is not UTF-8; parse...() throws CodecError that names the key.
-// Sizes are bounded on reading (distribution/types.h). Keys that are not known are passed over.
+// format...() throws CodecError if a string is not UTF-8; parse...() throws CodecError that names the key.
+// Parsing limits all sizes (distribution/types.h) and ignores unknown keys.
 #pragma once
 
 #include <string>
@@ -12,21 +12,21 @@
 
 namespace client_proxy::distribution {
 
-/// With its text, as GET /v1/changes/N answers and as replicas send it to each other.
+/// With the text, as in the answer to GET /v1/changes/N and in messages between replicas.
 nlohmann::json toJson(const Change& change);
-/// Also holds the text against the digest.
+/// Also throws CodecError if the digest does not match the text.
 Change changeFromJson(const JsonObject& object);
 std::string formatChange(const Change& change);
 Change parseChange(std::string_view text);
 
 /// The change with its whole text, for a subscriber.
 ChangeNotice noticeOf(const Change& change);
-/// The change as a delta to `base`, or with its whole text where that is not longer.
+/// The change as a delta to `base`, or with its whole text if that is not longer.
 ChangeNotice noticeOf(const Change& change, const Change& base);
 
-/// One line of a watch, with its line break.
+/// One line of a watch, including the line break.
 std::string formatWatchLine(const WatchLine& line);
-/// Without its line break. A whole text is held against its digest.
+/// Parses a line without its line break. Throws CodecError if the digest does not match a whole text.
 WatchLine parseWatchLine(std::string_view line);
 
 std::string formatAcknowledgement(const Acknowledgement& acknowledgement);
--- a/src/distribution/include/distribution/delta.h
+++ b/src/distribution/include/distribution/delta.h
@@ -1,4 +1,4 @@
-// Deltas between two texts.
+// Creates and applies deltas between two texts.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,15 @@
 
 namespace client_proxy::distribution {
 
-/// One splice: what is between the common start and the common end of both texts. It cuts no UTF-8 character.
+/// A delta of at most one splice, which replaces what lies between the common prefix and the common suffix of
+/// both texts. It splits no UTF-8 character.
 Delta makeDelta(const Change& base, std::string_view text);
 
-/// About how many bytes the delta takes on the wire, without what JSON escapes.
+/// Estimates the bytes that the delta takes on the wire, without JSON escapes.
 std::size_t sizeOf(const Delta& delta);
 
-/// Nothing: the splices do not lie within the base text in ascending order, or the result exceeds
-/// kMaxTextBytes. Whoever applies it holds the result against the digest of the change.
+/// std::nullopt: the splices are not in ascending order within the base text, or the result exceeds
+/// kMaxTextBytes. The caller must compare the result with the digest of the change.
 std::optional<std::string> applyDelta(const Delta& delta, std::string_view base_text);
 
 }  // namespace client_proxy::distribution
--- a/src/distribution/include/distribution/digest.h
+++ b/src/distribution/include/distribution/digest.h
@@ -1,4 +1,4 @@
-// The digest of a configuration text.
+// The digest that identifies a configuration text.
 #pragma once
 
 #include <string>
@@ -6,10 +6,11 @@
 
 namespace client_proxy::distribution {
 
-/// XXH3-128 of the bytes as 32 lower-case hex digits. It finds damage and mix-ups, not malice.
+/// XXH3-128 of the bytes as 32 lower-case hex digits. It detects corruption and mix-ups but, not being a
+/// cryptographic hash, no manipulation.
 std::string digestOf(std::string_view text);
 
-/// Whether it is 32 lower-case hex digits, as digests and the ids of publishes are.
+/// Whether `digits` is 32 lower-case hex digits, the form of digests and of publish ids.
 bool isHexDigest(std::string_view digits);
 
 }  // namespace client_proxy::distribution
--- a/src/distribution/include/distribution/json_object.h
+++ b/src/distribution/include/distribution/json_object.h
@@ -1,4 +1,4 @@
-// Reading and writing JSON objects with errors that name the key.
+// Reads and writes JSON objects, with errors that name the key.
 #pragma once
 
 #include <cstddef>
@@ -14,21 +14,23 @@
 
 namespace client_proxy::distribution {
 
-/// What is wrong with a message: "delta.splices[0].offset: is not a whole number".
+/// An invalid message: "delta.splices[0].offset: is not a whole number".
 struct CodecError : std::runtime_error {
   CodecError(std::string key_path, const std::string& what)
       : std::runtime_error(key_path.empty() ? what : key_path + ": " + what), key(std::move(key_path)) {}
-  std::string key;  ///< the path to the value; empty: the message as a whole
+  std::string key;  ///< the path of the value; empty: the message as a whole
 };
 
-/// An object of a message and its place in it. Keys that nobody asks for are passed over, so that a later
-/// program can add some. All calls throw CodecError.
+/// An object in a message, with its path. Unknown keys are ignored, so that later versions can add some. All
+/// accessors throw CodecError if the value is missing, has another type or exceeds the given limit, and the
+/// constructor if `value` is not an object. `value` must outlive this object.
 class JsonObject {
  public:
   explicit JsonObject(const nlohmann::json& value, std::string path = {});
 
-  bool has(const char* key) const;  ///< there, and not null
+  bool has(const char* key) const;  ///< present and not null; never throws
   std::string text(const char* key, std::size_t max_bytes) const;
+  /// A string of 32 lower-case hex digits.
   std::string hexDigest(const char* key) const;
   std::uint64_t number(const char* key, std::uint64_t max = std::numeric_limits<std::uint64_t>::max()) const;
   std::int64_t signedNumber(const char* key) const;
@@ -46,10 +48,10 @@
   std::string path_;
 };
 
-/// Throws CodecError where it is not JSON or exceeds max_bytes.
+/// Throws CodecError if the text is not JSON or exceeds max_bytes.
 nlohmann::json parseJson(std::string_view text, std::size_t max_bytes);
 
-/// As one line. Throws CodecError where a string in it is not UTF-8.
+/// Formats the value as one line. Throws CodecError if a string in it is not UTF-8.
 std::string formatJson(const nlohmann::json& value);
 
 }  // namespace client_proxy::distribution
--- a/src/distribution/include/distribution/types.h
+++ b/src/distribution/include/distribution/types.h
@@ -1,4 +1,5 @@
-// The values of the distribution of configuration: what operators publish, replicas keep and proxies follow.
+// The values of the configuration distribution: operators publish changes, replicas store them, and proxies
+// subscribe to them.
 #pragma once
 
 #include <cstddef>
@@ -12,37 +13,37 @@
 
 /// The number of a change: 1, 2, 3 ... without gaps. 0: nothing was published yet.
 using Version = std::uint64_t;
-/// A replica as the operators' lists number it, from 1.
+/// The number of a replica in the operators' lists, from 1.
 using ReplicaId = std::uint16_t;
-/// A proxy as the operators' lists number it.
+/// The number of a proxy in the operators' lists.
 using MemberId = std::uint32_t;
 
 /// The longest text of a change, in bytes.
 constexpr std::size_t kMaxTextBytes = std::size_t{1} << 20;
-/// The longest name of an author, in bytes.
+/// The longest author name, in bytes.
 constexpr std::size_t kMaxAuthorBytes = 200;
-/// The longest error that a proxy may report, in bytes.
+/// The longest error text that a proxy may report, in bytes.
 constexpr std::size_t kMaxErrorBytes = 1000;
-/// The most splices of one delta.
+/// The highest number of splices in one delta.
 constexpr std::size_t kMaxSplices = 64;
-/// The longest JSON body of a call. JSON writes each line break and quote of a text with two bytes; a text
-/// with so many control characters that it exceeds this is refused.
+/// The longest JSON body of a call, in bytes. JSON escapes each line break and quote of a text to two bytes;
+/// a text is refused if it has so many control characters that it exceeds this.
 constexpr std::size_t kMaxBodyBytes = 2 * kMaxTextBytes + std::size_t{16} * 1024;
 
 /// One published version of the shared configuration.
 struct Change {
   Version version = 0;
-  std::string id;                 ///< 32 hex digits drawn by the publisher; the same in each of its tries
+  std::string id;                 ///< 32 hex digits drawn by the publisher; the same in each retry
   std::string author;             ///< who published it
-  std::int64_t published_ms = 0;  ///< wall clock since 1970, for people; nothing is decided by it
+  std::int64_t published_ms = 0;  ///< wall clock since 1970; informational only, no decision depends on it
   std::string text;               ///< UTF-8
   std::string digest;             ///< digestOf(text)
-  std::string previous_digest;    ///< of the version before it; of the empty text for version 1
+  std::string previous_digest;    ///< of the previous version; for version 1 that of the empty text
 
   bool operator==(const Change&) const = default;
 };
 
-/// Puts `insert` in place of `remove` bytes at `offset`, both counted in bytes of the base text.
+/// Replaces `remove` bytes at `offset` by `insert`; both are counted in bytes of the base text.
 struct Splice {
   std::uint64_t offset = 0;
   std::uint64_t remove = 0;
@@ -51,7 +52,7 @@
   bool operator==(const Splice&) const = default;
 };
 
-/// How a text follows from an earlier one.
+/// The difference of a text from that of an earlier version.
 struct Delta {
   Version base = 0;
   std::string base_digest;
@@ -62,7 +63,8 @@
 
 // ---- lines of a watch ----
 
-/// A change as a subscriber receives it: its whole text or a delta to a version that the subscriber has.
+/// A change as sent to a subscriber: with its whole text, or with a delta to a version that the subscriber
+/// has.
 struct ChangeNotice {
   Version version = 0;
   std::string id;
@@ -75,7 +77,8 @@
   bool operator==(const ChangeNotice&) const = default;
 };
 
-/// Sent when a replica has not heard from a quorum for some time, and with true when it hears one again.
+/// Sent with false after a replica has had no contact with a quorum for some time, and with true once it has
+/// again.
 struct QuorumNotice {
   ReplicaId replica = 0;
   bool quorum = false;
@@ -83,7 +86,7 @@
   bool operator==(const QuorumNotice&) const = default;
 };
 
-/// An empty line: the replica is there, and there is nothing new.
+/// An empty line: the connection is alive and there is no new change.
 struct Heartbeat {
   bool operator==(const Heartbeat&) const = default;
 };
@@ -92,7 +95,7 @@
 
 // ---- calls ----
 
-/// A version that a proxy does not take, and why.
+/// A version that a proxy refuses, and why.
 struct Refusal {
   Version version = 0;
   std::string digest;
@@ -101,10 +104,10 @@
   bool operator==(const Refusal&) const = default;
 };
 
-/// What is in force at a proxy.
+/// Reports the version in force at a proxy to a replica.
 struct Acknowledgement {
   MemberId member = 0;
-  std::uint64_t sequence = 0;  ///< grows over all lives of a proxy; the newest counts
+  std::uint64_t sequence = 0;  ///< increases, also across restarts of a proxy; the highest one counts
   Version version = 0;
   std::string digest;
   bool restart_needed = false;  ///< part of the version takes effect at the next start only
@@ -113,16 +116,17 @@
   bool operator==(const Acknowledgement&) const = default;
 };
 
+/// Requests that a text becomes the next version.
 struct PublishRequest {
   std::string id;
   std::string author;
-  Version base = 0;  ///< the version that the author has seen; another newest one is a conflict
+  Version base = 0;  ///< the version that the text is based on; a conflict if it is not the newest
   std::string text;
 
   bool operator==(const PublishRequest&) const = default;
 };
 
-/// 200: chosen, and on the disks of a quorum.
+/// 200: the change is chosen and on the disks of a quorum.
 struct Published {
   Version version = 0;
   std::string digest;
@@ -132,13 +136,14 @@
 
 /// 409: the base is not the newest version.
 struct Conflict {
-  Version version = 0;  ///< the newest
-  std::string author;   ///< of the newest
+  Version version = 0;  ///< the newest version
+  std::string author;   ///< of the newest version
 
   bool operator==(const Conflict&) const = default;
 };
 
-/// 400, 404, 503, 507: not done. 503 leaves open whether it is chosen later: ask again with the same id.
+/// 400, 404, 503, 507: the call has failed. After 503 to a publish, the change may still be chosen later:
+/// retry with the same id.
 struct CallError {
   std::string error;   ///< "no quorum", "disk full", or what is wrong with the request
   std::string detail;  ///< may be empty
@@ -148,20 +153,23 @@
 
 // ---- status ----
 
+/// Another replica, as the replica that answers sees it.
 struct PeerStatus {
   ReplicaId replica = 0;
   bool reachable = false;
-  std::optional<std::int64_t> heard_ms_ago;    ///< nothing: not since this replica's start
-  Version version = 0;                         ///< the newest that it said it has
-  std::optional<std::int64_t> clock_ms_apart;  ///< its wall clock less this one's
+  std::optional<std::int64_t>
+      heard_ms_ago;     ///< since the last contact; none: no contact since this replica's start
+  Version version = 0;  ///< the newest one that it has reported
+  std::optional<std::int64_t> clock_ms_apart;  ///< its wall clock minus this replica's
 
   bool operator==(const PeerStatus&) const = default;
 };
 
+/// A proxy, as its acknowledgements show it.
 struct MemberStatus {
   MemberId member = 0;
-  bool connected = false;  ///< watches this replica now
-  std::int64_t heard_ms_ago = 0;
+  bool connected = false;         ///< has a watch open at this replica
+  std::int64_t heard_ms_ago = 0;  ///< since the last contact
   Version version = 0;
   std::string digest;
   bool restart_needed = false;
@@ -170,15 +178,16 @@
   bool operator==(const MemberStatus&) const = default;
 };
 
+/// The status of a replica.
 struct Status {
   ReplicaId replica = 0;
   std::string region;
   Version version = 0;
   std::string digest;
   std::uint64_t start_count = 0;
-  std::vector<std::string> faults;  ///< "kind: what"; empty: none
+  std::vector<std::string> faults;  ///< "kind: description"; empty: none
   std::vector<PeerStatus> peers;
-  bool quorum = false;  ///< this replica and those it heard of late are a quorum, and it may vote
+  bool quorum = false;  ///< it may vote, and forms a quorum with the peers in contact
   std::vector<MemberStatus> members;
 
   bool operator==(const Status&) const = default;
--- a/src/distribution/json_object.cpp
+++ b/src/distribution/json_object.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxDigestBytes = 64;  // longer ones are not even compared
+constexpr std::size_t kMaxDigestBytes = 64;  // longer strings are rejected by their length
 
 }  // namespace
 
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -1,4 +1,5 @@
-// Values of the distribution of configuration: deltas and the JSON form, with errors that name the key.
+// The messages of the configuration distribution: digests, deltas and the JSON form, with errors that name
+// the key.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -25,14 +26,14 @@
   return "no error";
 }
 
-TEST(Digest, IsXxh3OfTheBytes) {
+TEST(Digest, IsXxh3OfTheBytesInLowerCaseHex) {
   EXPECT_EQ(digestOf(""), "99aa06d3014798d86001c324468d497f");
   EXPECT_TRUE(isHexDigest(digestOf("zone a")));
   EXPECT_FALSE(isHexDigest(std::string(31, 'a')));
   EXPECT_FALSE(isHexDigest(std::string(32, 'A')));
 }
 
-TEST(DeltaTest, GivesTheTextAgainAndCutsNoCharacter) {
+TEST(DeltaTest, ApplyingADeltaRestoresTheTextAndNoSpliceCutsACharacter) {
   std::mt19937 random(7);
   const std::string letters[] = {"a", "b", "\n", "\xC3\xA4", "\xC3\xB6", "\xE2\x82\xAC"};
   const auto draw = [&] {
@@ -52,14 +53,14 @@
   }
 }
 
-TEST(DeltaTest, IsSentOnlyWhereItIsShorter) {
+TEST(DeltaTest, ADeltaIsSentOnlyIfItIsShorterThanTheText) {
   const Change base = changeOf(1, std::string(1000, 'x'));
   EXPECT_TRUE(
       std::holds_alternative<Delta>(noticeOf(changeOf(2, std::string(999, 'x') + "y"), base).content));
   EXPECT_TRUE(std::holds_alternative<std::string>(noticeOf(changeOf(2, "other"), base).content));
 }
 
-TEST(DeltaTest, ASpliceOutsideTheBaseIsNotApplied) {
+TEST(DeltaTest, ASpliceOutsideTheBaseTextIsRejected) {
   const std::string base = "0123456789";
   EXPECT_EQ(applyDelta({1, "", {{2, 2, "a"}, {5, 0, "b"}}}, base), "01a4b56789");
   EXPECT_FALSE(applyDelta({1, "", {{11, 0, "a"}}}, base));
@@ -69,7 +70,7 @@
   EXPECT_FALSE(applyDelta({1, "", {{0, 0, std::string(kMaxTextBytes, 'a')}}}, base));
 }
 
-TEST(Codec, EachMessageIsReadAsItWasWritten) {
+TEST(Codec, EachMessageIsParsedAsItWasFormatted) {
   const Change change = changeOf(42, "listen 127.0.0.1:80\n\"\xC3\xA4\"\n");
   EXPECT_EQ(parseChange(formatChange(change)), change);
   EXPECT_EQ(parseWatchLine(""), WatchLine(Heartbeat{}));
@@ -113,7 +114,7 @@
   const std::string head = R"({"version":2,"id":")" + kId + R"(","author":"","published_ms":0,"digest":")" +
                            digest + R"(","previous_digest":")" + digest + R"(",)";
   EXPECT_EQ(errorOf([&] { parseWatchLine(head + R"("text":"x"})"); }), "no error");
-  EXPECT_EQ(errorOf([&] { parseWatchLine(head + R"("text":"y"})"); }), "digest: is not that of the text");
+  EXPECT_EQ(errorOf([&] { parseWatchLine(head + R"("text":"y"})"); }), "digest: does not match the text");
   EXPECT_EQ(errorOf([&] {
               parseWatchLine(head + R"("delta":{"base":1,"base_digest":")" + kId +
                              R"(","splices":[{"offset":0,"remove":"a"}]}})");
