--- a/tests/distribution_processes_test.cpp
+++ b/tests/distribution_processes_test.cpp
@@ -1,6 +1,6 @@
-// Four replicas in two regions and twelve proxies as processes of the program, with faults between them. All
-// waits are for what processes show; the limit only ends a test that has failed. At the end the recorded
-// history is judged by the checker.
+// Four replicas in two regions and twelve proxies as processes of the program, with faults of processes,
+// disks and the network. Tests wait for reported state; the time limit only ends a failed test. At the end
+// the checker checks the recorded history.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -23,9 +23,9 @@
  protected:
   void SetUp() override {
     for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) rig.startReplica(r);
-    for (std::size_t n = 0; n < DistributionRig::kProxies; ++n) rig.startProxy(n, moreOf(n));
+    for (std::size_t n = 0; n < DistributionRig::kProxies; ++n) rig.startProxy(n, extraConfiguration(n));
     ASSERT_TRUE(rig.until([&] {
-      return watched() == DistributionRig::kProxies && quorumAt({0, 1, 2, 3});
+      return watchCount() == DistributionRig::kProxies && quorumAt({0, 1, 2, 3});
     })) << rig.logs();
   }
   void TearDown() override {
@@ -33,15 +33,15 @@
     ASSERT_TRUE(rig.until([&] { return replicasHold(newest()); })) << rig.logs();
     EXPECT_EQ(rig.breaches(), "") << rig.logs();
   }
-  virtual std::string moreOf(std::size_t) const { return {}; }
+  virtual std::string extraConfiguration(std::size_t) const { return {}; }
 
-  // Proxies with a watch on a replica, by what the replicas that answer say.
-  std::size_t watched() const {
+  // The number of proxies with a watch on a replica, as the reachable replicas report it.
+  std::size_t watchCount() const {
     std::size_t count = 0;
-    for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) count += watchedAt(r);
+    for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) count += watchCountAt(r);
     return count;
   }
-  std::size_t watchedAt(std::size_t r) const {
+  std::size_t watchCountAt(std::size_t r) const {
     const std::optional<Status> status = rig.statusOf(r);
     if (!status) return 0;
     return static_cast<std::size_t>(std::count_if(status->members.begin(), status->members.end(),
@@ -50,17 +50,17 @@
   // The replica with the most watches.
   std::size_t mostWatched() const {
     std::vector<std::size_t> counts;
-    for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) counts.push_back(watchedAt(r));
+    for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) counts.push_back(watchCountAt(r));
     return static_cast<std::size_t>(std::max_element(counts.begin(), counts.end()) - counts.begin());
   }
-  static std::vector<std::size_t> allBut(std::size_t gone) {
+  static std::vector<std::size_t> allBut(std::size_t excluded) {
     std::vector<std::size_t> rest;
     for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) {
-      if (r != gone) rest.push_back(r);
+      if (r != excluded) rest.push_back(r);
     }
     return rest;
   }
-  // Asked in this order: the first decides where it can.
+  // All replicas with `first` in front: a command tries them in this order.
   static std::vector<std::size_t> firstOfAll(std::size_t first) {
     std::vector<std::size_t> all = allBut(first);
     all.insert(all.begin(), first);
@@ -85,7 +85,7 @@
     for (const auto& p : rig.history().publishes) newest = std::max(newest, p.version);
     return newest;
   }
-  // Published, and held by all.
+  // Publishes and expects this version, in force at all proxies.
   testing::AssertionResult published(const std::string& text, Version version,
                                      const std::vector<std::size_t>& at = {0, 1, 2, 3}) {
     const auto result = rig.publish(text, at);
@@ -102,7 +102,7 @@
   DistributionRig rig{CLIENT_PROXY_PROGRAM};
 };
 
-TEST_F(Distribution, APublishIsHeldByAllAndStatusSaysSo) {
+TEST_F(Distribution, APublishAndARevertAreInForceAtAllProxiesAndInStatus) {
   ASSERT_TRUE(published(textOf(1), 1));
   ASSERT_TRUE(published(textOf(2), 2));
   EXPECT_TRUE(rig.until([&] { return rig.allHold(2); }));
@@ -117,13 +117,13 @@
 
 class DistributionOneDiffers : public Distribution {
  protected:
-  // What others have from the shared file, this one has from its own.
-  std::string moreOf(std::size_t n) const override {
+  // The operator file of proxy 5 defines a class that the shared file will define too.
+  std::string extraConfiguration(std::size_t n) const override {
     return n == 5 ? "class taken {\n  effect safe\n  aim 1s\n  deadline 2s\n}\n" : "";
   }
 };
 
-TEST_F(DistributionOneDiffers, ATextThatFailsAtOneIsRefusedThereAndTheOthersHoldIt) {
+TEST_F(DistributionOneDiffers, ATextInvalidAtOneProxyIsRefusedThereAndAppliedByTheOthers) {
   ASSERT_TRUE(published(textOf(1), 1));
   const auto result = rig.publish(textOf(1) + "class taken {\n  effect safe\n  aim 1s\n  deadline 2s\n}\n");
   EXPECT_EQ(result.status, 3) << result.out;
@@ -134,31 +134,31 @@
   const std::string detail = refusing.value("detail", "");
   EXPECT_NE(detail.find("shared.conf:6:"), std::string::npos) << detail;
   EXPECT_NE(detail.find("taken"), std::string::npos) << detail;
-  EXPECT_EQ(rig.versionOf(5), 1U) << "it serves on by what it has";
+  EXPECT_EQ(rig.versionOf(5), 1U) << "it continues with the version in force";
   EXPECT_NE(rig.get(5, "/stats").find("app_concurrent"), std::string::npos);
   EXPECT_TRUE(rig.until([&] { return rig.allHold(2, {5}); }));
-  ASSERT_TRUE(published(textOf(3), 3)) << "a later version is tried anew";
+  ASSERT_TRUE(published(textOf(3), 3)) << "a later version is checked anew";
 }
 
-TEST_F(Distribution, AReplicaIsKilledWhilePublishesComeAndItsWatchersMove) {
+TEST_F(Distribution, WatchersOfAKilledReplicaReconnectAndPublishesSucceed) {
   ASSERT_TRUE(published(textOf(1), 1));
   const std::size_t killed = mostWatched();
   const std::vector<std::size_t> others = allBut(killed);
-  const std::size_t moved = watchedAt(killed);
-  const double reconnects = rig.reconnects();
+  const std::size_t moved = watchCountAt(killed);
+  const double reconnects = rig.totalReconnects();
   auto second = std::async(std::launch::async, [&] { return rig.publish(textOf(2), others); });
   rig.killReplica(killed);
   const auto result = second.get();
   EXPECT_EQ(result.status, 0) << result.out << rig.logs();
   ASSERT_TRUE(published(textOf(3), 3, others));
-  EXPECT_TRUE(rig.until([&] { return watched() == DistributionRig::kProxies; }));
-  EXPECT_GE(rig.reconnects(), reconnects + static_cast<double>(moved));
+  EXPECT_TRUE(rig.until([&] { return watchCount() == DistributionRig::kProxies; }));
+  EXPECT_GE(rig.totalReconnects(), reconnects + static_cast<double>(moved));
   rig.startReplica(killed);
   EXPECT_TRUE(rig.until([&] { return replicaHolds(killed, 3) && quorumAt({killed}); })) << rig.logs();
-  ASSERT_TRUE(published(textOf(4), 4, firstOfAll(killed))) << "the one that came back decides";
+  ASSERT_TRUE(published(textOf(4), 4, firstOfAll(killed))) << "the restarted replica decides";
 }
 
-TEST_F(Distribution, AFrozenReplicaIsLeftAndCatchesUpWhenItWakes) {
+TEST_F(Distribution, AFrozenReplicaIsAbandonedAndCatchesUpAfterItResumes) {
   ASSERT_TRUE(published(textOf(1), 1));
   rig.freezeReplica(2);
   const auto result = rig.publish(textOf(2), {0, 1, 3}, "--wait 12s ");
@@ -169,7 +169,7 @@
   ASSERT_TRUE(published(textOf(3), 3, firstOfAll(2)));
 }
 
-TEST_F(Distribution, RegionsThatLoseEachOtherAcceptNothingServeOnAndHeal) {
+TEST_F(Distribution, PartitionedRegionsAcceptNoPublishAndRecoverWhenReconnected) {
   ASSERT_TRUE(published(textOf(1), 1));
   rig.cutRegions(true);
   ASSERT_TRUE(rig.until([&] { return quorumAt({0, 1, 2, 3}, false); })) << rig.logs();
@@ -181,29 +181,29 @@
   EXPECT_EQ(south.page().at("result"), "undecided");
   for (std::size_t n = 0; n < DistributionRig::kProxies; ++n) {
     EXPECT_EQ(rig.versionOf(n), 1U);
-    EXPECT_NE(rig.get(n, "/stats").find("app_concurrent"), std::string::npos) << "serves on";
+    EXPECT_NE(rig.get(n, "/stats").find("app_concurrent"), std::string::npos) << "continues to serve";
   }
   rig.cutRegions(false);
   ASSERT_TRUE(rig.until([&] { return quorumAt({0, 1, 2, 3}); })) << rig.logs();
-  // Either may be chosen yet, or neither; what is published now comes after it.
+  // Either publish may still be chosen, or none; a publish from now on gets a later version.
   ASSERT_TRUE(rig.until([&] { return rig.publish(textOf(4)).status == 0; })) << rig.logs();
   EXPECT_TRUE(rig.until([&] { return rig.allHold(newest()); })) << rig.logs();
 }
 
-TEST_F(Distribution, WithTwoOfFourGoneNothingIsAcceptedAndAThirdMakesItWhole) {
+TEST_F(Distribution, WithTwoOfFourReplicasDownNoPublishIsAcceptedUntilAThirdStarts) {
   ASSERT_TRUE(published(textOf(1), 1));
   rig.killReplica(2);
   rig.killReplica(3);
   const auto refused = rig.publish(textOf(2), {0, 1}, "--wait 2s ");
   EXPECT_EQ(refused.status, 1) << refused.out;
-  ASSERT_TRUE(rig.until([&] { return watched() == DistributionRig::kProxies; })) << rig.logs();
+  ASSERT_TRUE(rig.until([&] { return watchCount() == DistributionRig::kProxies; })) << rig.logs();
   rig.startReplica(3);
   ASSERT_TRUE(rig.until([&] { return quorumAt({0, 1, 3}); })) << rig.logs();
   ASSERT_TRUE(rig.until([&] { return rig.publish(textOf(3), {0, 1, 3}).status == 0; })) << rig.logs();
   rig.startReplica(2);
 }
 
-TEST_F(Distribution, AReplicaWithLastWeeksDiskIsNamedAndNobodyStepsBack) {
+TEST_F(Distribution, AReplicaWithAnOldDiskReportsItAndNoProxyGoesBack) {
   ASSERT_TRUE(published(textOf(1), 1));
   ASSERT_TRUE(rig.until([&] { return replicasHold(1); }));
   ASSERT_TRUE(rig.endReplica(0));
@@ -223,7 +223,7 @@
   EXPECT_TRUE(rig.until([&] { return rig.allHold(5); }));
 }
 
-TEST_F(Distribution, AProxyThatStartsWithNoReplicaInReachServesByItsFile) {
+TEST_F(Distribution, AProxyThatStartsWithoutReachableReplicasServesFromItsFile) {
   ASSERT_TRUE(published(textOf(1), 1));
   ASSERT_TRUE(rig.until([&] { return rig.allHold(1); }));
   const auto from = rig.now();
@@ -232,16 +232,16 @@
   rig.startProxy(3);
   ASSERT_TRUE(rig.until([&] { return rig.get(3, "/stats").find("{type=\"shared\"}") != std::string::npos; }))
       << rig.get(3, "/stats") << rig.logs();
-  EXPECT_EQ(rig.figure(3, "app_configuration_version"), 1);
+  EXPECT_EQ(rig.metric(3, "app_configuration_version"), 1);
   EXPECT_EQ(rig.versionOf(3), 1U);
   for (std::size_t r = 0; r < DistributionRig::kReplicas; ++r) rig.startReplica(r);
   ASSERT_TRUE(rig.until([&] { return quorumAt({0, 1, 2, 3}); })) << rig.logs();
-  ASSERT_TRUE(rig.until([&] { return watched() == DistributionRig::kProxies; })) << rig.logs();
+  ASSERT_TRUE(rig.until([&] { return watchCount() == DistributionRig::kProxies; })) << rig.logs();
   for (std::size_t n = 0; n < DistributionRig::kProxies; ++n) rig.outage(n, from);
   ASSERT_TRUE(published(textOf(2), 2));
 }
 
-TEST_F(Distribution, OfTwoPublishersAtOnceOneGetsAConflictOrBothAreInOrder) {
+TEST_F(Distribution, OfTwoConcurrentPublishesOneGetsAConflictOrBothAreOrdered) {
   ASSERT_TRUE(published(textOf(1), 1));
   for (int round = 0; round < 5; ++round) {
     const Version before = newest();
@@ -253,13 +253,13 @@
     EXPECT_GE(in_force, 1) << one.out << second.out;
     EXPECT_EQ(newest(), before + static_cast<Version>(in_force));
     for (const auto& result : {one, second}) {
-      const std::string said = result.page().at("result");
-      EXPECT_TRUE(said == "published" || said == "conflict") << result.out;
+      const std::string outcome = result.page().at("result");
+      EXPECT_TRUE(outcome == "published" || outcome == "conflict") << result.out;
     }
   }
 }
 
-// Runs in which something is broken on purpose: the checker has to see it in what real processes show.
+// Deliberate violations, which the checker has to detect in the state that real processes report.
 class DistributionBroken : public Distribution {
  protected:
   void TearDown() override {}
@@ -270,7 +270,7 @@
   }
 };
 
-TEST_F(DistributionBroken, AFileThatSomebodyPutsBackIsSeenAsAStepBack) {
+TEST_F(DistributionBroken, ASharedFileOverwrittenWithAnOlderOneIsReportedAsGoingBack) {
   ASSERT_TRUE(published(textOf(1), 1));
   const std::string first = rig.sharedText(3);
   ASSERT_TRUE(published(textOf(2), 2));
@@ -296,7 +296,7 @@
   EXPECT_TRUE(seen("version 1 is one text for publisher "));
   EXPECT_TRUE(seen(" is lost at replica 1\n"));
   EXPECT_TRUE(seen(" got version 1 after publish "));
-  // What the page for staff says to do: each forgets the number, and takes the new ones.
+  // The documented recovery: a shared file without a version lets each proxy accept the new history.
   for (std::size_t n = 0; n < DistributionRig::kProxies; ++n) {
     rig.replaceShared(n, textOf(1));
     rig.rereadProxy(n);
@@ -309,7 +309,7 @@
   })) << rig.logs();
 }
 
-TEST_F(DistributionBroken, AProxyThatStandsStillIsNamedAndSeenToBeLate) {
+TEST_F(DistributionBroken, AFrozenProxyIsListedInStatusAndReportedAsLate) {
   rig.freezeProxy(4);
   const auto result = rig.publish(textOf(1));
   EXPECT_EQ(result.status, 3) << result.out;
--- a/tests/distribution_rig.h
+++ b/tests/distribution_rig.h
@@ -1,5 +1,6 @@
-// Four replicas of the shared configuration in two regions and proxies that follow them, each a process of
-// the program: started, ended, killed, frozen, cut off. All that they show is recorded for the checker.
+// Runs four replicas of the shared configuration in two regions and the proxies that subscribe to them, each
+// as a process of the program that can be started, terminated, killed, frozen and cut off. The state that
+// they report is recorded for the checker.
 #pragma once
 
 #include <signal.h>
@@ -40,13 +41,14 @@
 
 namespace client_proxy::rig {
 
+// Replicas and proxies are numbered from 0 here.
 class DistributionRig {
  public:
   using Tcp = boost::asio::ip::tcp;
   static constexpr std::size_t kReplicas = 4;
   static constexpr std::size_t kProxies = 12;
 
-  // What a command of the program printed on standard output, and its exit status.
+  // The exit status and standard output of a command of the program; status -1: it didn't exit normally.
   struct CommandResult {
     int status = -1;
     std::string out;
@@ -55,12 +57,12 @@
 
   explicit DistributionRig(std::string program) : program_(std::move(program)), began_(Clock::now()) {
     std::string name = "/tmp/client-proxy-distribution-XXXXXX";
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the rig");
+    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create the folder of the rig");
     folder_ = name;
     address_ = boost::asio::ip::address_v4(0x7F'50'00'00U | (static_cast<unsigned>(getpid()) & 0xFFFFU));
     for (std::size_t r = 0; r < kReplicas; ++r) {
-      replicas_[r].listens = freePort();
-      replicas_[r].front = relay_.frontOf(replicas_[r].listens, address_);
+      replicas_[r].address = freePort();
+      replicas_[r].relayed = relay_.frontOf(replicas_[r].address, address_);
       std::filesystem::create_directory(replicaFolder(r));
     }
     for (std::size_t n = 0; n < kProxies; ++n) {
@@ -71,7 +73,7 @@
     }
   }
   ~DistributionRig() {
-    for (Process& p : replicas_) p.child.reset();
+    for (Replica& p : replicas_) p.child.reset();
     for (Proxy& p : proxies_) p.child.reset();
     boost::system::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
@@ -79,7 +81,7 @@
   DistributionRig(const DistributionRig&) = delete;
   DistributionRig& operator=(const DistributionRig&) = delete;
 
-  // Replicas count from 0 here; their numbers in the lists are one higher. The first two are in the north.
+  // In the operators' lists a replica's number is one higher than here. The first two are in the north.
   static const char* regionOfReplica(std::size_t r) { return r < 2 ? "north" : "south"; }
   static const char* regionOfProxy(std::size_t n) { return n < kProxies / 2 ? "north" : "south"; }
   std::string replicaFolder(std::size_t r) const { return folder_ + "/replica-" + std::to_string(r); }
@@ -94,7 +96,7 @@
                                           "--id",
                                           idOf(r),
                                           "--listen",
-                                          configuration::nameOf(replicas_[r].listens),
+                                          configuration::nameOf(replicas_[r].address),
                                           "--folder",
                                           replicaFolder(r),
                                           "--region",
@@ -104,7 +106,7 @@
                        {"--replica", idOf(other) + "=" + addressFrom(regionOfReplica(r), other)});
     replicas_[r].child = std::make_unique<Child>(arguments);
   }
-  // SIGTERM, and it has gone.
+  // Sends SIGTERM; returns whether the replica has exited within the limit.
   bool endReplica(std::size_t r) {
     replicas_[r].child->signal(SIGTERM);
     const bool ended = until([&] { return !replicas_[r].child->runs(); });
@@ -115,9 +117,9 @@
   void freezeReplica(std::size_t r) { replicas_[r].child->signal(SIGSTOP); }
   void thawReplica(std::size_t r) { replicas_[r].child->signal(SIGCONT); }
 
-  // `more`: what only this proxy's operator file says.
-  void startProxy(std::size_t n, const std::string& more = {}) {
-    write(operatorFile(n), more + operatorText(n));
+  // `extra`: additional text for the operator file of this proxy.
+  void startProxy(std::size_t n, const std::string& extra = {}) {
+    write(operatorFile(n), extra + operatorText(n));
     proxies_[n].child =
         std::make_unique<Child>(std::vector<std::string>{program_, "run", "--operator", operatorFile(n)});
   }
@@ -127,10 +129,10 @@
   const Child& proxy(std::size_t n) const { return *proxies_[n].child; }
   const Child& replica(std::size_t r) const { return *replicas_[r].child; }
 
-  // The regions lose each other: replicas do, and proxies those of the other region.
+  // Cuts or restores the connections of replicas and proxies to the replicas of the other region.
   void cutRegions(bool cut) { relay_.setCut(cut); }
 
-  // A page on a proxy's console; null where it does not answer.
+  // A JSON page of a proxy's console; null if it doesn't answer with one.
   nlohmann::json page(std::size_t n, const std::string& path) const {
     const std::string text = FleetRig::getAt(proxies_[n].console, path);
     const std::size_t body = text.find("\r\n\r\n");
@@ -138,31 +140,32 @@
     nlohmann::json page = nlohmann::json::parse(text.substr(body + 4), nullptr, false);
     return page.is_discarded() ? nlohmann::json() : page;
   }
+  // The whole response of a proxy's console, with its head.
   std::string get(std::size_t n, const std::string& path) const {
     return FleetRig::getAt(proxies_[n].console, path);
   }
 
-  // A figure without labels on a proxy's console; nothing: it has none, or does not answer.
-  std::optional<double> figure(std::size_t n, const std::string& name) const {
+  // A metric without labels on a proxy's console; none: it isn't there, or the console doesn't answer.
+  std::optional<double> metric(std::size_t n, const std::string& name) const {
     const std::string stats = get(n, "/stats");
     const std::size_t at = stats.find("\n" + name + " ");
     if (at == std::string::npos) return std::nullopt;
     return std::strtod(stats.c_str() + at + name.size() + 2, nullptr);
   }
-  double reconnects() const {
+  double totalReconnects() const {
     double sum = 0;
     for (std::size_t n = 0; n < kProxies; ++n)
-      sum += figure(n, "app_configuration_reconnects_total").value_or(0);
+      sum += metric(n, "app_configuration_reconnects_total").value_or(0);
     return sum;
   }
 
-  // Publishes through the program, asking these replicas; a told version is recorded.
+  // Publishes with the program through the replicas `at`; records the version if it is acknowledged.
   CommandResult publish(const std::string& text, const std::vector<std::size_t>& at = {0, 1, 2, 3},
-                        const std::string& more = {}) {
+                        const std::string& extra = {}) {
     const std::string file = folder_ + "/candidate-" + std::to_string(++candidates_) + ".conf";
     write(file, text);
     return recorded(text,
-                    [&] { return run("publish --author ada --json " + more + replicaOptions(at) + file); });
+                    [&] { return run("publish --author ada --json " + extra + replicaOptions(at) + file); });
   }
   CommandResult revert(distribution::Version version, const std::string& text) {
     return recorded(text, [&] {
@@ -172,40 +175,42 @@
   CommandResult status(const std::vector<std::size_t>& at = {0, 1, 2, 3}) {
     return run("status --json " + replicaOptions(at));
   }
-  // What one replica says of itself; nothing: it does not answer.
+  // The status of one replica; none: it doesn't answer.
   std::optional<distribution::Status> statusOf(std::size_t r) const {
-    return configuration::ReplicaClient({replicas_[r].listens}).statuses()[0].status;
+    return configuration::ReplicaClient({replicas_[r].address}).statuses()[0].status;
   }
 
   std::string sharedText(std::size_t n) const {
     std::ifstream in(sharedFile(n), std::ios::binary);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
-  // As somebody would by hand.
+  // Overwrites the shared file, like an operator by hand.
   void replaceShared(std::size_t n, const std::string& content) const { write(sharedFile(n), content); }
 
-  // The version in a proxy's shared file; its last line names it.
+  // The version in the last line of a proxy's shared file; 0: none.
   distribution::Version versionOf(std::size_t n) const {
     const std::optional<SharedFile> file = readShared(n);
     return file ? file->version : 0;
   }
-  bool allHold(distribution::Version version, const std::set<std::size_t>& but = {}) const {
+  // Whether the shared files of all proxies except `excluded` have at least this version.
+  bool allHold(distribution::Version version, const std::set<std::size_t>& excluded = {}) const {
     for (std::size_t n = 0; n < kProxies; ++n) {
-      if (but.count(n) == 0 && versionOf(n) < version) return false;
+      if (excluded.count(n) == 0 && versionOf(n) < version) return false;
     }
     return true;
   }
 
-  // Looks and records until it holds; false: not within the limit, which only ends a test that has failed.
+  // Observes and records until `holds` returns true; false: kLimit has passed, which only ends a failed test.
   bool until(const std::function<bool()>& holds) {
     const auto end = Clock::now() + kLimit;
     for (;;) {
       observe();
       if (holds()) return true;
       if (Clock::now() > end) return false;
-      std::this_thread::sleep_for(kLook);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
+  // Records that the proxy was without a replica with a quorum from `from` until now.
   void outage(std::size_t n, distribution::HistoryTime from) {
     history_.outages.push_back({static_cast<std::uint32_t>(n), from, now()});
   }
@@ -213,7 +218,8 @@
     return std::chrono::duration_cast<distribution::HistoryTime>(Clock::now() - began_);
   }
 
-  // All replicas run again and have the newest version: what they stored is read, and the whole is judged.
+  // Reads the stored changes of all replicas and checks the recorded history; all replicas must run and have
+  // the newest version.
   std::string breaches() {
     observe();
     history_.end = now();
@@ -233,11 +239,11 @@
  private:
   using Clock = std::chrono::steady_clock;
   static constexpr std::chrono::seconds kLimit{60};
-  static constexpr std::chrono::milliseconds kLook{50};
+  static constexpr std::chrono::milliseconds kPollInterval{50};
 
-  struct Process {
-    Tcp::endpoint listens;
-    Tcp::endpoint front;  // where the other region finds it
+  struct Replica {
+    Tcp::endpoint address;
+    Tcp::endpoint relayed;  // its address for the other region, through the relay
     std::unique_ptr<Child> child;
   };
   struct Proxy {
@@ -246,30 +252,30 @@
   };
   struct SharedFile {
     distribution::Version version = 0;
-    std::string digest;  // of the text itself, not as the file says
+    std::string digest;  // computed from the text, not read from the file
   };
 
   static std::string idOf(std::size_t r) { return std::to_string(r + 1); }
   static void write(const std::string& path, const std::string& text) {
     std::ofstream(path, std::ios::binary | std::ios::trunc) << text;
   }
-  static std::string linesOf(const std::string& who, const std::unique_ptr<Child>& child) {
+  static std::string linesOf(const std::string& process, const std::unique_ptr<Child>& child) {
     std::string all;
     if (child == nullptr) return all;
-    for (const std::string& line : child->lines()) all += who + ": " + line + "\n";
+    for (const std::string& line : child->lines()) all += process + ": " + line + "\n";
     return all;
   }
 
   Tcp::endpoint freePort() {
-    // One that is free may have been given to a process that has not bound it yet.
+    // A free port may have been assigned already to a process that has not bound it yet.
     for (;;) {
       const Tcp::endpoint at = Tcp::acceptor(io_, Tcp::endpoint(address_, 0)).local_endpoint();
-      if (given_.insert(at.port()).second) return at;
+      if (assigned_ports_.insert(at.port()).second) return at;
     }
   }
 
   std::string addressFrom(const std::string& region, std::size_t r) const {
-    return configuration::nameOf(region == regionOfReplica(r) ? replicas_[r].listens : replicas_[r].front);
+    return configuration::nameOf(region == regionOfReplica(r) ? replicas_[r].address : replicas_[r].relayed);
   }
 
   std::string operatorText(std::size_t n) const {
@@ -287,7 +293,7 @@
   std::string replicaOptions(const std::vector<std::size_t>& at) const {
     std::string options;
     for (const std::size_t r : at)
-      options += "--replica " + configuration::nameOf(replicas_[r].listens) + " ";
+      options += "--replica " + configuration::nameOf(replicas_[r].address) + " ";
     return options;
   }
 
@@ -302,15 +308,15 @@
     return result;
   }
 
-  // What was published is recorded; safe to be called by several threads.
+  // Runs a publishing command and records an acknowledged publish; may be called by several threads.
   CommandResult recorded(const std::string& text, const std::function<CommandResult()>& command) {
     distribution::PublishRecord record;
-    record.asked = now();
+    record.requested = now();
     CommandResult result = command();
     const nlohmann::json page = result.page();
     if (!page.is_object() || page.value("result", "") != "published") return result;
-    record.decided = record.asked + distribution::HistoryTime(page.at("decided_in_ms").get<int>());
-    record.told = now();
+    record.decided = record.requested + distribution::HistoryTime(page.at("decided_in_ms").get<int>());
+    record.acknowledged = now();
     record.id = page.at("id");
     record.version = page.at("version");
     record.digest = distribution::digestOf(text);
@@ -327,10 +333,10 @@
 
   void observe() {
     for (std::size_t n = 0; n < kProxies; ++n) {
-      if (const auto file = readShared(n)) hold(n, "disk", file->version, file->digest);
+      if (const auto file = readShared(n)) recordInForce(n, "disk", file->version, file->digest);
     }
     std::vector<Endpoint> addresses;
-    for (const Process& p : replicas_) addresses.push_back(p.listens);
+    for (const Replica& p : replicas_) addresses.push_back(p.address);
     for (const auto& answer : configuration::ReplicaClient(addresses).statuses()) {
       if (answer.status) observe(*answer.status);
     }
@@ -339,22 +345,22 @@
     const std::string source =
         "replica " + std::to_string(status.replica) + " start " + std::to_string(status.start_count);
     for (const distribution::MemberStatus& m : status.members) {
-      hold(m.member, source, m.version, m.digest);
+      recordInForce(m.member, source, m.version, m.digest);
       if (m.refused) history_.refusals.push_back({now(), m.member, m.refused->version});
     }
   }
-  void hold(std::size_t n, const std::string& source, distribution::Version version,
-            const std::string& digest) {
-    const auto shown = std::make_pair(version, digest);
-    auto& last = last_[{n, source}];
-    if (last == shown) return;
-    last = shown;
-    history_.holdings.push_back({now(), static_cast<std::uint32_t>(n), source, version, digest});
+  void recordInForce(std::size_t n, const std::string& source, distribution::Version version,
+                     const std::string& digest) {
+    const auto reported = std::make_pair(version, digest);
+    auto& last = last_recorded_[{n, source}];
+    if (last == reported) return;
+    last = reported;
+    history_.in_force.push_back({now(), static_cast<std::uint32_t>(n), source, version, digest});
   }
   void readStored(std::size_t r) {
     const std::optional<distribution::Status> status = statusOf(r);
     if (!status) return;
-    const configuration::ReplicaClient client({replicas_[r].listens});
+    const configuration::ReplicaClient client({replicas_[r].address});
     for (distribution::Version v = 1; v <= status->version; ++v) {
       const auto change = client.change(v);
       if (change)
@@ -368,14 +374,14 @@
   std::string folder_;
   boost::asio::io_context io_;
   boost::asio::ip::address address_;
-  std::set<std::uint16_t> given_;
+  std::set<std::uint16_t> assigned_ports_;
   TcpRelay relay_;
-  std::array<Process, kReplicas> replicas_;
+  std::array<Replica, kReplicas> replicas_;
   std::array<Proxy, kProxies> proxies_;
   std::atomic<int> candidates_ = 0;
-  std::mutex mutex_;  // of the publishes in history_
+  std::mutex mutex_;  // protects history_.publishes
   distribution::History history_;
-  std::map<std::pair<std::size_t, std::string>, std::pair<distribution::Version, std::string>> last_;
+  std::map<std::pair<std::size_t, std::string>, std::pair<distribution::Version, std::string>> last_recorded_;
 };
 
 }  // namespace client_proxy::rig
