--- a/src/subscription/acknowledgement_call.cpp
+++ b/src/subscription/acknowledgement_call.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::chrono::seconds kTimeLimit{3};
 constexpr std::size_t kReadBytes = 1024;
-constexpr int kSuccess = 2;  // of the status's hundreds
+constexpr int kSuccessClass = 2;  // 2xx statuses
 
 }  // namespace
 
@@ -25,14 +25,14 @@
              std::to_string(body.size()) + "\r\n\r\n" + body;
   timer_.expires_after(kTimeLimit);
   timer_.async_wait([self = shared_from_this()](error_code ec) {
-    if (!ec) self->end(false);
+    if (!ec) self->finish(false);
   });
   socket_.async_connect(replica, [self = shared_from_this()](error_code connected) {
-    if (connected) return self->end(false);
+    if (connected) return self->finish(false);
     boost::asio::async_write(self->socket_, boost::asio::buffer(self->request_),
                              [self](error_code written, std::size_t n) {
                                if (self->done_) self->traffic_.bytes_out += n;
-                               written ? self->end(false) : self->read();
+                               written ? self->finish(false) : self->read();
                              });
   });
 }
@@ -40,13 +40,13 @@
 void AcknowledgementCall::read() {
   socket_.async_read_some(in_.space(kReadBytes), [self = shared_from_this()](error_code ec, std::size_t n) {
     if (!self->done_) return;
-    if (ec) return self->end(false);
+    if (ec) return self->finish(false);
     self->in_.commit(n);
     self->traffic_.bytes_in += n;
     error_code malformed;
     self->in_.consume(self->parser_.put(self->in_.data(), malformed));
-    if (self->parser_.is_header_done()) return self->end(self->parser_.status / 100 == kSuccess);
-    if (malformed && malformed != http::error::need_more) return self->end(false);
+    if (self->parser_.is_header_done()) return self->finish(self->parser_.status / 100 == kSuccessClass);
+    if (malformed && malformed != http::error::need_more) return self->finish(false);
     self->read();
   });
 }
@@ -58,7 +58,7 @@
   socket_.close(ignored);
 }
 
-void AcknowledgementCall::end(bool delivered) {
+void AcknowledgementCall::finish(bool delivered) {
   const Done done = std::exchange(done_, nullptr);
   stop();
   if (done) done(delivered);
--- a/src/subscription/include/subscription/acknowledgement_call.h
+++ b/src/subscription/include/subscription/acknowledgement_call.h
@@ -1,4 +1,4 @@
-// One POST of an acknowledgement to a replica, on a connection of its own.
+// Sends one acknowledgement to a replica as a POST request on a separate connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,24 +13,26 @@
 
 namespace client_proxy::subscription {
 
+/// A single acknowledgement request with a time limit of 3 s.
 class AcknowledgementCall final : public std::enable_shared_from_this<AcknowledgementCall> {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
-  /// `delivered`: the replica has it.
+  /// `delivered`: the replica has answered with a 2xx status.
   using Done = std::function<void(bool delivered)>;
 
-  /// `traffic` must live until `done` or stop().
+  /// `traffic` must live until `done` is called or stop().
   AcknowledgementCall(boost::asio::io_context& io, Traffic& traffic, Done done);
+  /// Connects and posts `body`, a JSON document.
   void start(const Endpoint& replica, const std::string& body);
-  /// Without an answer; `done` is not called any more.
+  /// Aborts the request; `done` is not called after this.
   void stop();
 
  private:
   void read();
-  void end(bool delivered);
+  void finish(bool delivered);
 
   Traffic& traffic_;
-  Done done_;  // empty: it is over
+  Done done_;  // empty once the request has ended
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   std::string request_;
--- a/src/subscription/include/subscription/file_writer.h
+++ b/src/subscription/include/subscription/file_writer.h
@@ -1,5 +1,5 @@
-// Replaces files on a thread of its own, for an fsync may take long and the loop has requests to serve. The
-// thread is there only while something is written.
+// Replaces files on a separate thread, because an fsync may block for long and the event loop has requests to
+// serve. The thread exists only during a write.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,30 +11,33 @@
 
 namespace client_proxy::subscription {
 
+/// Writes one file at a time without blocking the event loop.
 class FileWriter {
  public:
-  /// Called on the loop with what went wrong; empty: nothing.
-  using Written = std::function<void(const std::string& error)>;
+  /// Called on the event loop with an error message, which is empty on success.
+  using WriteCallback = std::function<void(const std::string& error)>;
 
-  /// Throws boost::system::system_error where the system has no descriptor left.
+  /// Throws boost::system::system_error if no eventfd can be created, for instance at the descriptor limit.
   explicit FileWriter(boost::asio::io_context& io);
-  /// As finish().
+  /// Calls finish().
   ~FileWriter();
   FileWriter(const FileWriter&) = delete;
   FileWriter& operator=(const FileWriter&) = delete;
 
-  /// As replaceSharedFile(). One at a time: not before `written` was called or finish().
-  void write(const std::string& path, std::string content, Written written);
-  /// Returns once nothing is written any more; what was told to write() is not called any more.
+  /// Replaces the file as replaceSharedFile() does. Only one write may be in progress: call it again only
+  /// after `callback` has run or finish() has returned.
+  void write(const std::string& path, std::string content, WriteCallback callback);
+  /// Blocks until a write in progress has ended and discards its callback.
   void finish();
 
  private:
-  void await();
+  void awaitCompletion();
 
-  boost::asio::posix::stream_descriptor ended_;  // of an eventfd: the loop takes no calls of other threads
+  // An eventfd set by thread_, because the loop is not thread-safe.
+  boost::asio::posix::stream_descriptor completion_;
   std::thread thread_;
-  std::string error_;  // the thread's until it is joined
-  Written written_;
+  std::string error_;  // owned by thread_ until it is joined
+  WriteCallback callback_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/subscription/include/subscription/replica_order.h
+++ b/src/subscription/include/subscription/replica_order.h
@@ -1,4 +1,4 @@
-// The order in which one subscriber tries the replicas. Pure.
+// Computes the order in which a subscriber tries the replicas, without I/O or state.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,15 @@
 
 namespace client_proxy::subscription {
 
-/// A replica as the operator file lists it.
+/// A replica as listed in the operator file.
 struct Replica {
   std::uint32_t number = 0;
-  std::string region;  // empty: not said
+  std::string region;  // empty: not configured
 };
 
-/// Indices into `replicas`, the first choice first. Replicas of the subscriber's region come before the
-/// others; within both groups members spread evenly, over the first choice and over what follows when that
-/// one fails, also where the members of a region are numbered by a pattern (every second one, say).
+/// Returns indices into `replicas` in order of preference. Replicas in the subscriber's region come before
+/// the others. Within both groups members spread evenly over the first choice and, in case it fails, over the
+/// following ones, even if the members of a region are numbered by a pattern (for instance every second one).
 std::vector<std::size_t> replicaOrder(std::uint32_t member, const std::string& region,
                                       const std::vector<Replica>& replicas);
 
--- a/src/subscription/replica_order.cpp
+++ b/src/subscription/replica_order.cpp
@@ -5,16 +5,17 @@
 namespace client_proxy::subscription {
 namespace {
 
-// The multiples of the golden ratio, modulo one, lie evenly on the unit interval, and so do those of every
-// arithmetic progression of members (Knuth, The Art of Computer Programming, volume 3, section 6.4).
+// Fibonacci hashing: multiples of the golden ratio modulo one are evenly distributed on the unit interval,
+// also for any arithmetic progression of members (Knuth, The Art of Computer Programming, volume 3,
+// section 6.4).
 double evenFraction(std::uint32_t member) {
-  constexpr std::uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;  // times 2^64
+  constexpr std::uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;  // its fractional part, scaled by 2^64
   return static_cast<double>((member * kGoldenRatio) >> 11U) * 0x1.0p-53;
 }
 
-// The permutation of `from` that stands at `fraction` in the list of all of them (the digits of a Lehmer
-// code).
-std::vector<std::size_t> permuted(std::vector<std::size_t> from, double fraction) {
+// Returns the permutation of `from` whose position in the lexicographic list of all permutations is
+// `fraction` of the list's length (each step consumes one digit of the Lehmer code).
+std::vector<std::size_t> permutationAt(std::vector<std::size_t> from, double fraction) {
   std::vector<std::size_t> out;
   while (!from.empty()) {
     const double scaled = fraction * static_cast<double>(from.size());
@@ -36,8 +37,8 @@
     (same_region ? near : far).push_back(i);
   }
   const double fraction = evenFraction(member);
-  std::vector<std::size_t> order = permuted(std::move(near), fraction);
-  for (const std::size_t index : permuted(std::move(far), fraction)) order.push_back(index);
+  std::vector<std::size_t> order = permutationAt(std::move(near), fraction);
+  for (const std::size_t index : permutationAt(std::move(far), fraction)) order.push_back(index);
   return order;
 }
 
--- a/src/subscription/shared_file.cpp
+++ b/src/subscription/shared_file.cpp
@@ -16,28 +16,30 @@
 namespace client_proxy::subscription {
 namespace {
 
-constexpr std::string_view kVersion = "# version ", kDigest = " digest ", kBy = " by ";
+constexpr std::string_view kVersionPrefix = "# version ", kDigestPrefix = " digest ", kAuthorPrefix = " by ";
 
-// The comment's version and digest; nothing: it is no such comment.
-struct Stamp {
+// Version and digest of the comment at the end of the file.
+struct VersionComment {
   distribution::Version version = 0;
   std::string digest;
 };
 
-std::optional<Stamp> parseStamp(std::string_view line) {
-  if (line.substr(0, kVersion.size()) != kVersion) return std::nullopt;
-  line.remove_prefix(kVersion.size());
-  Stamp stamp;
-  const auto number = std::from_chars(line.data(), line.data() + line.size(), stamp.version);
+// Returns nullopt if the line is not a version comment.
+std::optional<VersionComment> parseVersionComment(std::string_view line) {
+  if (line.substr(0, kVersionPrefix.size()) != kVersionPrefix) return std::nullopt;
+  line.remove_prefix(kVersionPrefix.size());
+  VersionComment comment;
+  const auto number = std::from_chars(line.data(), line.data() + line.size(), comment.version);
   if (number.ec != std::errc{}) return std::nullopt;
   line.remove_prefix(static_cast<std::size_t>(number.ptr - line.data()));
-  if (line.substr(0, kDigest.size()) != kDigest) return std::nullopt;
-  line.remove_prefix(kDigest.size());
-  stamp.digest = std::string(line.substr(0, line.find(' ')));
-  if (!distribution::isHexDigest(stamp.digest)) return std::nullopt;
-  return stamp;
+  if (line.substr(0, kDigestPrefix.size()) != kDigestPrefix) return std::nullopt;
+  line.remove_prefix(kDigestPrefix.size());
+  comment.digest = std::string(line.substr(0, line.find(' ')));
+  if (!distribution::isHexDigest(comment.digest)) return std::nullopt;
+  return comment;
 }
 
+// Owns a file descriptor.
 class File {
  public:
   explicit File(int descriptor) : descriptor_(descriptor) {}
@@ -63,8 +65,8 @@
   int descriptor_;
 };
 
-// Where a link leads; the path itself where nothing is there yet.
-std::string targetOf(const std::string& path) {
+// Resolves symbolic links; returns the path itself if the file does not exist yet.
+std::string resolveLinks(const std::string& path) {
   const std::unique_ptr<char, decltype(&std::free)> real(::realpath(path.c_str(), nullptr), &std::free);
   return real ? std::string(real.get()) : path;
 }
@@ -75,17 +77,18 @@
   return slash == 0 ? "/" : path.substr(0, slash);
 }
 
+// Permissions of an existing file, or the default for a new one.
 mode_t modeOf(const std::string& path) {
-  constexpr mode_t kDefault = 0644, kPermissions = 07777;
+  constexpr mode_t kDefaultMode = 0644, kPermissions = 07777;
   struct stat status {};
-  return ::stat(path.c_str(), &status) == 0 ? status.st_mode & kPermissions : kDefault;
+  return ::stat(path.c_str(), &status) == 0 ? status.st_mode & kPermissions : kDefaultMode;
 }
 
-// errno says what went wrong.
-bool replace(const std::string& target, const std::string& temporary, std::string_view content) {
+// Writes `temporary` and renames it to `target`. On failure returns false with the error in errno.
+bool replaceFile(const std::string& target, const std::string& temporary, std::string_view content) {
   {
-    const File fresh(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, modeOf(target)));
-    if (!fresh.isOpen() || !fresh.write(content) || !fresh.sync()) return false;
+    const File file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, modeOf(target)));
+    if (!file.isOpen() || !file.write(content) || !file.sync()) return false;
   }
   if (::rename(temporary.c_str(), target.c_str()) != 0) return false;
   const File folder(::open(folderOf(target).c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
@@ -100,11 +103,11 @@
       author.begin(), author.end(), [](char c) { return static_cast<unsigned char>(c) < ' '; }, '?');
   std::string content = change.text;
   if (!content.empty() && content.back() != '\n') content += '\n';
-  content += kVersion;
+  content += kVersionPrefix;
   content += std::to_string(change.version);
-  content += kDigest;
+  content += kDigestPrefix;
   content += change.digest;
-  content += kBy;
+  content += kAuthorPrefix;
   content += author + "\n";
   return content;
 }
@@ -112,31 +115,32 @@
 InForce parseSharedFile(std::string_view content) {
   std::string_view lines = content;
   if (!lines.empty() && lines.back() == '\n') lines.remove_suffix(1);
-  const std::size_t last = lines.rfind('\n') + 1;  // none: 0
-  const std::optional<Stamp> stamp = parseStamp(lines.substr(last));
+  const std::size_t last = lines.rfind('\n') + 1;  // 0 if there is only one line
+  const std::optional<VersionComment> comment = parseVersionComment(lines.substr(last));
   InForce in_force;
-  if (!stamp) {
+  if (!comment) {
     in_force.text = std::string(content);
     in_force.digest = distribution::digestOf(in_force.text);
     return in_force;
   }
-  in_force.version = stamp->version;
-  // The last line break may not be of the text as it was published.
+  in_force.version = comment->version;
+  // formatSharedFile() adds a line break if the published text has none at its end, so try without and with
+  // it.
   for (const std::size_t cut : {std::size_t{1}, std::size_t{0}}) {
     in_force.text = std::string(lines.substr(0, last - std::min(cut, last)));
     in_force.digest = distribution::digestOf(in_force.text);
-    if (in_force.digest == stamp->digest) return in_force;
+    if (in_force.digest == comment->digest) return in_force;
   }
   in_force.as_published = false;
   return in_force;
 }
 
 std::string replaceSharedFile(const std::string& path, std::string_view content) {
-  const std::string target = targetOf(path), temporary = target + ".new";
-  if (replace(target, temporary, content)) return {};
-  const std::string why = std::strerror(errno);
+  const std::string target = resolveLinks(path), temporary = target + ".new";
+  if (replaceFile(target, temporary, content)) return {};
+  const std::string error = std::strerror(errno);
   ::unlink(temporary.c_str());
-  return path + ": can't be written: " + why;
+  return path + ": can't be written: " + error;
 }
 
 }  // namespace client_proxy::subscription
--- a/src/subscription/subscription.cpp
+++ b/src/subscription/subscription.cpp
@@ -23,10 +23,11 @@
           .previous_digest = notice.previous_digest};
 }
 
-std::string shortened(std::string error) {
+// Limits the message to the size allowed in an acknowledgement.
+std::string truncated(std::string error) {
   if (error.size() <= distribution::kMaxErrorBytes) return error;
   error.resize(distribution::kMaxErrorBytes);
-  // Not in the middle of a UTF-8 character (RFC 3629, 3).
+  // Avoid cutting within a UTF-8 character (RFC 3629, 3).
   while (!error.empty() && (static_cast<unsigned char>(error.back()) & 0x80U) != 0) error.pop_back();
   return error;
 }
@@ -58,9 +59,9 @@
   if (candidate_) actions.push_back(CloseWatch{candidate_->id});
   current_.reset();
   candidate_.reset();
-  open_at_ = return_at_ = better_at_ = store_at_ = acknowledge_at_ = kNever;
+  open_at_ = failback_at_ = quorum_search_at_ = store_retry_at_ = acknowledge_at_ = kNever;
   without_quorum_ = acknowledging_ = false;
-  offered_.reset();
+  pending_change_.reset();
   return actions;
 }
 
@@ -69,16 +70,17 @@
   Watch watch;
   watch.id = ++last_watch_;
   watch.position = position;
-  watch.deadline = now + settings_.connect;
-  const bool whole = whole_wanted_ || !in_force_.as_published;
-  actions.push_back(OpenWatch{watch.id, order_[position], whole ? 0 : in_force_.version, in_force_.digest});
+  watch.deadline = now + settings_.connect_timeout;
+  const bool full_text = full_text_required_ || !in_force_.as_published;
+  actions.push_back(
+      OpenWatch{watch.id, order_[position], full_text ? 0 : in_force_.version, in_force_.digest});
   return watch;
 }
 
 void Subscription::openCurrent(Time now, Actions& actions) {
   open_at_ = kNever;
   without_quorum_ = false;
-  better_at_ = kNever;
+  quorum_search_at_ = kNever;
   current_ = open(position_, now, actions);
 }
 
@@ -86,32 +88,32 @@
   for (std::optional<Watch>* const watch : {&current_, &candidate_}) {
     if (!*watch || (*watch)->id != id) continue;
     (*watch)->connected = true;
-    (*watch)->deadline = now + settings_.silence;
+    (*watch)->deadline = now + settings_.idle_timeout;
   }
-  if (current_ && current_->id == id) wantAcknowledgement(now);
+  if (current_ && current_->id == id) scheduleAcknowledgement(now);
   return {};
 }
 
-Actions Subscription::lost(WatchId id, const std::string& why, Time now) {
+Actions Subscription::lost(WatchId id, const std::string& reason, Time now) {
   Actions actions;
   if (candidate_ && candidate_->id == id) dropCandidate(now, actions);
-  if (current_ && current_->id == id) loseCurrent(why, now, actions);
+  if (current_ && current_->id == id) loseCurrent(reason, now, actions);
   return actions;
 }
 
-void Subscription::loseCurrent(const std::string& why, Time now, Actions& actions) {
+void Subscription::loseCurrent(const std::string& reason, Time now, Actions& actions) {
   const Watch watch = *std::exchange(current_, std::nullopt);
   actions.push_back(CloseWatch{watch.id});
-  if (watch.heard && now - watch.heard_first >= settings_.settled) failures_ = 0;
-  // What is seen by many at once is not answered by all at once.
-  const Time wait = failures_ == 0 ? upTo(settings_.move_wait)
-                                   : backoff(settings_.backoff_first, settings_.backoff_most, failures_);
+  if (watch.line_received && now - watch.first_line_at >= settings_.stable_after) failures_ = 0;
+  // Many subscribers may lose the same replica at once; a random delay spreads their reconnects.
+  const Time wait = failures_ == 0 ? randomUpTo(settings_.max_failover_delay)
+                                   : backoff(settings_.backoff_initial, settings_.backoff_max, failures_);
   if (failures_ == 0)
     actions.push_back(
-        Report{"replica " + std::to_string(replicaAt(watch.position).number) + " lost: " + why});
+        Report{"replica " + std::to_string(replicaAt(watch.position).number) + " lost: " + reason});
   ++failures_;
-  return_at_ = better_at_ = kNever;
-  if (candidate_) {  // it is asked already
+  failback_at_ = quorum_search_at_ = kNever;
+  if (candidate_) {  // already connecting or connected
     current_ = std::exchange(candidate_, std::nullopt);
     position_ = current_->position;
     return;
@@ -120,14 +122,14 @@
   open_at_ = now + wait;
 }
 
-Time Subscription::backoff(Time first, Time most, std::uint32_t failures) {
+Time Subscription::backoff(Time initial, Time max, std::uint32_t failures) {
   constexpr std::uint32_t kMostDoublings = 20;
-  const Time doubled = first << std::min(failures > 0 ? failures - 1 : 0, kMostDoublings);
-  const Time wait = std::min(doubled, most);
-  return wait / 2 + upTo(wait);
+  const Time doubled = initial << std::min(failures > 0 ? failures - 1 : 0, kMostDoublings);
+  const Time wait = std::min(doubled, max);
+  return wait / 2 + randomUpTo(wait);
 }
 
-// ---- another replica that may be better ----
+// ---- candidate watches ----
 
 void Subscription::tryCandidate(std::size_t position, Time now, Actions& actions) {
   if (candidate_ || position == current_->position) return;
@@ -138,11 +140,12 @@
   actions.push_back(CloseWatch{candidate_->id});
   candidate_.reset();
   if (without_quorum_) {
-    ++not_better_;
-    better_at_ = now + backoff(settings_.better_least, settings_.better_most, not_better_);
+    ++candidates_without_quorum_;
+    quorum_search_at_ =
+        now + backoff(settings_.quorum_search_min, settings_.quorum_search_max, candidates_without_quorum_);
   }
-  if (current_ && current_->position != 0 && return_at_ == kNever)
-    return_at_ = now + between(settings_.return_least, settings_.return_most);
+  if (current_ && current_->position != 0 && failback_at_ == kNever)
+    failback_at_ = now + randomBetween(settings_.failback_min, settings_.failback_max);
 }
 
 void Subscription::promoteCandidate(Time now, Actions& actions) {
@@ -150,22 +153,23 @@
   current_ = std::exchange(candidate_, std::nullopt);
   position_ = current_->position;
   without_quorum_ = false;
-  return_at_ = better_at_ = kNever;
+  failback_at_ = quorum_search_at_ = kNever;
   actions.push_back(Report{"moved to replica " + std::to_string(replicaAt(position_).number)});
-  wantAcknowledgement(now);
+  scheduleAcknowledgement(now);
 }
 
 void Subscription::onQuorum(bool quorum, Time now) {
   if (without_quorum_ == !quorum) return;
   without_quorum_ = !quorum;
-  not_better_ = 0;
-  better_at_ =
-      quorum || order_.size() < 2 ? kNever : now + backoff(settings_.better_least, settings_.better_most, 0);
+  candidates_without_quorum_ = 0;
+  quorum_search_at_ = quorum || order_.size() < 2
+                          ? kNever
+                          : now + backoff(settings_.quorum_search_min, settings_.quorum_search_max, 0);
 }
 
-// ---- lines ----
+// ---- received lines ----
 
-Actions Subscription::heard(WatchId id, const distribution::WatchLine& line, Time now) {
+Actions Subscription::received(WatchId id, const distribution::WatchLine& line, Time now) {
   Actions actions;
   const auto* const quorum = std::get_if<distribution::QuorumNotice>(&line);
   if (candidate_ && candidate_->id == id) {
@@ -176,110 +180,113 @@
     promoteCandidate(now, actions);
   }
   if (!current_ || current_->id != id) return actions;
-  if (!current_->heard) {
-    current_->heard = true;
-    current_->heard_first = now;
-    if (position_ != 0) return_at_ = now + between(settings_.return_least, settings_.return_most);
+  if (!current_->line_received) {
+    current_->line_received = true;
+    current_->first_line_at = now;
+    if (position_ != 0) failback_at_ = now + randomBetween(settings_.failback_min, settings_.failback_max);
     if (failures_ > 0)
-      actions.push_back(Report{"replica " + std::to_string(replicaAt(position_).number) + " is watched"});
+      actions.push_back(Report{"replica " + std::to_string(replicaAt(position_).number) + " connected"});
   }
-  current_->deadline = now + settings_.silence;
+  current_->deadline = now + settings_.idle_timeout;
   if (quorum != nullptr) onQuorum(quorum->quorum, now);
-  if (const auto* const notice = std::get_if<ChangeNotice>(&line)) onNotice(*notice, now, actions);
+  if (const auto* const notice = std::get_if<ChangeNotice>(&line)) onChangeNotice(*notice, now, actions);
   return actions;
 }
 
 // ---- changes ----
 
-void Subscription::onNotice(const ChangeNotice& notice, Time now, Actions& actions) {
-  if (isFault(notice, now, actions)) return;
+void Subscription::onChangeNotice(const ChangeNotice& notice, Time now, Actions& actions) {
+  if (rejectIfFaulty(notice, now, actions)) return;
   if (const auto* const delta = std::get_if<Delta>(&notice.content)) {
-    if (!isKnown(notice)) onDelta(notice, *delta, now, actions);
+    if (!isAlreadyHandled(notice)) onDelta(notice, *delta, now, actions);
     return;
   }
   const std::string& text = std::get<std::string>(notice.content);
   if (distribution::digestOf(text) != notice.digest) {
-    fault(notice, "the text has another digest", now, actions);
-    return loseCurrent("its text has another digest", now, actions);
+    reportFault(notice, "the text has a different digest", now, actions);
+    return loseCurrent("its text does not match the digest", now, actions);
   }
-  whole_wanted_ = false;
-  if (!isKnown(notice)) offer(changeOf(notice, text), actions);
+  full_text_required_ = false;
+  if (!isAlreadyHandled(notice)) applyChange(changeOf(notice, text), actions);
 }
 
-bool Subscription::isFault(const ChangeNotice& notice, Time now, Actions& actions) {
-  const std::string held = std::to_string(in_force_.version);
+bool Subscription::rejectIfFaulty(const ChangeNotice& notice, Time now, Actions& actions) {
+  const std::string current = std::to_string(in_force_.version);
   if (notice.version < in_force_.version) {
-    fault(notice, "version " + held + " is in force, which is higher", now, actions);
-    loseCurrent("it has an older version", now, actions);
+    reportFault(notice, "version " + current + " is in force, which is newer", now, actions);
+    loseCurrent("it sent an older version", now, actions);
     return true;
   }
-  const bool other_text = notice.version == in_force_.version && notice.digest != in_force_.digest;
-  if (other_text && in_force_.as_published) {
-    fault(notice, "version " + held + " is in force with another text", now, actions);
-    loseCurrent("it has another text of the version in force", now, actions);
+  const bool different_text = notice.version == in_force_.version && notice.digest != in_force_.digest;
+  if (different_text && in_force_.as_published) {
+    reportFault(notice, "version " + current + " is in force with a different text", now, actions);
+    loseCurrent("it sent a different text for the version in force", now, actions);
     return true;
   }
   return false;
 }
 
-// In force, refused here already, or waiting to be stored.
-bool Subscription::isKnown(const ChangeNotice& notice) const {
+// True if the change is in force, was refused by this proxy or waits to be stored.
+bool Subscription::isAlreadyHandled(const ChangeNotice& notice) const {
   if (notice.version == in_force_.version && notice.digest == in_force_.digest) return true;
-  return offered_ && offered_->version == notice.version && offered_->digest == notice.digest;
+  return pending_change_ && pending_change_->version == notice.version &&
+         pending_change_->digest == notice.digest;
 }
 
-const std::string* Subscription::textOf(const Delta& delta) const {
+// Returns null if the delta's base is neither in force nor pending.
+const std::string* Subscription::baseTextOf(const Delta& delta) const {
   if (delta.base == in_force_.version && delta.base_digest == in_force_.digest) return &in_force_.text;
-  const bool to_offered =
-      offered_ && delta.base == offered_->version && delta.base_digest == offered_->digest;
-  return to_offered ? &offered_->text : nullptr;
+  const bool to_pending = pending_change_ && delta.base == pending_change_->version &&
+                          delta.base_digest == pending_change_->digest;
+  return to_pending ? &pending_change_->text : nullptr;
 }
 
 void Subscription::onDelta(const ChangeNotice& notice, const Delta& delta, Time now, Actions& actions) {
-  const std::string* const base = textOf(delta);
+  const std::string* const base = baseTextOf(delta);
   std::optional<std::string> text;
   if (base != nullptr) text = distribution::applyDelta(delta, *base);
   if (text && distribution::digestOf(*text) == notice.digest)
-    return offer(changeOf(notice, std::move(*text)), actions);
-  fault(notice,
-        base != nullptr ? "the delta gives a text with another digest"
-                        : "the delta is to a version that is not here",
-        now, actions);
-  if (whole_wanted_)
-    return loseCurrent("it sent a wrong delta where the whole text was asked for", now, actions);
-  whole_wanted_ = true;
+    return applyChange(changeOf(notice, std::move(*text)), actions);
+  reportFault(notice,
+              base != nullptr ? "the delta produces a text with a different digest"
+                              : "the delta is based on an unknown version",
+              now, actions);
+  if (full_text_required_)
+    return loseCurrent("it sent a wrong delta although the full text was requested", now, actions);
+  full_text_required_ = true;
   actions.push_back(CloseWatch{current_->id});
   openCurrent(now, actions);
 }
 
-void Subscription::fault(const ChangeNotice& notice, const std::string& error, Time now, Actions& actions) {
+void Subscription::reportFault(const ChangeNotice& notice, const std::string& error, Time now,
+                               Actions& actions) {
   ++counters_.faults;
   refusal_ = distribution::Refusal{notice.version, notice.digest, error};
   actions.push_back(Report{"version " + std::to_string(notice.version) + " from replica " +
-                               std::to_string(replicaAt(position_).number) + " not taken: " + error,
+                               std::to_string(replicaAt(position_).number) + " not applied: " + error,
                            true});
-  wantAcknowledgement(now);
+  scheduleAcknowledgement(now);
 }
 
-void Subscription::offer(Change change, Actions& actions) {
-  store_at_ = kNever;
+void Subscription::applyChange(Change change, Actions& actions) {
+  store_retry_at_ = kNever;
   store_failures_ = 0;
-  offered_ = std::move(change);
-  actions.push_back(Apply{*offered_});
+  pending_change_ = std::move(change);
+  actions.push_back(Apply{*pending_change_});
 }
 
 Actions Subscription::applied(const ApplyResult& result, Time now) {
   Actions actions;
-  if (!offered_) return actions;
-  result.outcome == Outcome::Taken ? takeOffered(result.restart_needed, actions)
-                                   : keepBack(result, now, actions);
-  wantAcknowledgement(now);
+  if (!pending_change_) return actions;
+  result.outcome == Outcome::Taken ? commitPendingChange(result.restart_needed, actions)
+                                   : recordFailedApply(result, now, actions);
+  scheduleAcknowledgement(now);
   return actions;
 }
 
-void Subscription::takeOffered(bool restart_needed, Actions& actions) {
-  Change change = std::move(*offered_);
-  offered_.reset();
+void Subscription::commitPendingChange(bool restart_needed, Actions& actions) {
+  Change change = std::move(*pending_change_);
+  pending_change_.reset();
   refusal_.reset();
   ++counters_.taken;
   actions.push_back(
@@ -287,25 +294,27 @@
   in_force_ = {change.version, std::move(change.digest), std::move(change.text), restart_needed, true};
 }
 
-void Subscription::keepBack(const ApplyResult& result, Time now, Actions& actions) {
-  refusal_ = distribution::Refusal{offered_->version, offered_->digest, shortened(result.error)};
+void Subscription::recordFailedApply(const ApplyResult& result, Time now, Actions& actions) {
+  refusal_ =
+      distribution::Refusal{pending_change_->version, pending_change_->digest, truncated(result.error)};
   actions.push_back(
-      Report{"version " + std::to_string(offered_->version) + " not taken: " + result.error, true});
+      Report{"version " + std::to_string(pending_change_->version) + " not applied: " + result.error, true});
   if (result.outcome == Outcome::Refused) {
     ++counters_.refused;
     return;
   }
   ++counters_.not_stored;
-  store_at_ = now + backoff(settings_.store_again_first, settings_.store_again_most, ++store_failures_);
+  store_retry_at_ =
+      now + backoff(settings_.store_retry_initial, settings_.store_retry_max, ++store_failures_);
 }
 
 Actions Subscription::replaced(InForce in_force, Time now) {
   Actions actions;
   in_force_ = std::move(in_force);
   refusal_.reset();
-  offered_.reset();
-  store_at_ = kNever;
-  wantAcknowledgement(now);
+  pending_change_.reset();
+  store_retry_at_ = kNever;
+  scheduleAcknowledgement(now);
   if (!running_ || !current_) return actions;
   actions.push_back(CloseWatch{current_->id});
   openCurrent(now, actions);
@@ -314,9 +323,9 @@
 
 // ---- acknowledgements ----
 
-void Subscription::wantAcknowledgement(Time now) {
+void Subscription::scheduleAcknowledgement(Time now) {
   acknowledge_failures_ = 0;
-  acknowledge_at_ = std::min(acknowledge_at_, now + upTo(settings_.acknowledge_spread));
+  acknowledge_at_ = std::min(acknowledge_at_, now + randomUpTo(settings_.acknowledge_jitter));
 }
 
 void Subscription::sendAcknowledgement(Time now, Actions& actions) {
@@ -328,7 +337,7 @@
   a.restart_needed = in_force_.restart_needed;
   a.refused = refusal_;
   acknowledging_ = true;
-  acknowledge_at_ = now + settings_.acknowledge_again;
+  acknowledge_at_ = now + settings_.acknowledge_interval;
   actions.push_back(SendAcknowledgement{order_[position_], std::move(a)});
 }
 
@@ -337,21 +346,22 @@
   if (delivered) {
     acknowledge_failures_ = 0;
   } else {
-    const Time wait = backoff(settings_.backoff_first, settings_.acknowledge_again, ++acknowledge_failures_);
+    const Time wait =
+        backoff(settings_.backoff_initial, settings_.acknowledge_interval, ++acknowledge_failures_);
     acknowledge_at_ = std::min(acknowledge_at_, now + wait);
   }
   return {};
 }
 
-// ---- time ----
+// ---- timers ----
 
 std::optional<std::size_t> Subscription::watchedReplica() const {
-  if (!current_ || !current_->heard) return std::nullopt;
+  if (!current_ || !current_->line_received) return std::nullopt;
   return order_[position_];
 }
 
 Time Subscription::nextDue() const {
-  Time next = std::min({open_at_, return_at_, better_at_, store_at_});
+  Time next = std::min({open_at_, failback_at_, quorum_search_at_, store_retry_at_});
   if (current_) next = std::min(next, current_->deadline);
   if (candidate_) next = std::min(next, candidate_->deadline);
   if (current_ && current_->connected && !acknowledging_) next = std::min(next, acknowledge_at_);
@@ -362,21 +372,22 @@
   Actions actions;
   if (!running_) return actions;
   if (candidate_ && now >= candidate_->deadline) dropCandidate(now, actions);
-  if (current_ && now >= current_->deadline) loseCurrent("silent", now, actions);
+  if (current_ && now >= current_->deadline) loseCurrent("timeout", now, actions);
   if (now >= open_at_) openCurrent(now, actions);
-  if (current_ && now >= return_at_) {
-    return_at_ = kNever;
+  if (current_ && now >= failback_at_) {
+    failback_at_ = kNever;
     tryCandidate(0, now, actions);
   }
-  if (current_ && now >= better_at_) {
-    better_at_ = kNever;
-    tryCandidate((position_ + 1 + not_better_ % (order_.size() - 1)) % order_.size(), now, actions);
+  if (current_ && now >= quorum_search_at_) {
+    quorum_search_at_ = kNever;
+    tryCandidate((position_ + 1 + candidates_without_quorum_ % (order_.size() - 1)) % order_.size(), now,
+                 actions);
   }
   if (current_ && current_->connected && !acknowledging_ && now >= acknowledge_at_)
     sendAcknowledgement(now, actions);
-  if (now >= store_at_ && offered_) {
-    store_at_ = kNever;
-    actions.push_back(Apply{*offered_});
+  if (now >= store_retry_at_ && pending_change_) {
+    store_retry_at_ = kNever;
+    actions.push_back(Apply{*pending_change_});
   }
   return actions;
 }
--- a/src/subscription/subscription_task.cpp
+++ b/src/subscription/subscription_task.cpp
@@ -10,7 +10,8 @@
 namespace client_proxy::subscription {
 namespace {
 
-// Larger than any of an earlier life, for a life has fewer acknowledgements than 2^20 in a millisecond.
+// Returns a sequence number larger than any of an earlier run, as long as a run sends fewer than 2^20
+// acknowledgements per millisecond.
 std::uint64_t sequenceAt(Time now) {
   constexpr unsigned kCounterBits = 20;
   return static_cast<std::uint64_t>(now / kMillisecond) << kCounterBits;
@@ -21,7 +22,8 @@
           a.watches + b.watches};
 }
 
-std::string figure(const std::string& name, const char* type, std::uint64_t value) {
+// Formats one metric with its TYPE line.
+std::string metric(const std::string& name, const char* type, std::uint64_t value) {
   return "# TYPE " + name + " " + type + "\n" + name + " " + std::to_string(value) + "\n";
 }
 
@@ -48,12 +50,12 @@
   for (const ReplicaAddress& replica : settings_.replicas)
     s.replicas.push_back({replica.number, replica.region});
   subscription_.emplace(std::move(s), std::move(in_force));
-  happen([this] { return subscription_->start(clock_.now()); });
+  enqueue([this] { return subscription_->start(clock_.now()); });
 }
 
 void SubscriptionTask::stop() {
-  ++life_;
-  if (subscription_) earlier_ = sum(earlier_, subscription_->counters());
+  ++run_;
+  if (subscription_) previous_runs_ = sum(previous_runs_, subscription_->counters());
   subscription_.reset();
   events_.clear();
   applying_ = false;
@@ -61,133 +63,134 @@
   watches_.clear();
   if (call_) call_->stop();
   call_.reset();
-  armed_for_ = kNever;
+  timer_due_ = kNever;
   timer_.cancel();
 }
 
 void SubscriptionTask::replaced(std::function<InForce()> read) {
   if (!subscription_) return;
-  happen([this, read = std::move(read)] { return subscription_->replaced(read(), clock_.now()); });
+  enqueue([this, read = std::move(read)] { return subscription_->replaced(read(), clock_.now()); });
 }
 
 // ---- events ----
 
 void SubscriptionTask::onConnected(WatchId watch) {
-  happen([this, watch] { return subscription_->connected(watch, clock_.now()); });
+  enqueue([this, watch] { return subscription_->connected(watch, clock_.now()); });
 }
 
 void SubscriptionTask::onLine(WatchId watch, distribution::WatchLine line) {
-  happen([this, watch, line = std::move(line)] { return subscription_->heard(watch, line, clock_.now()); });
+  enqueue(
+      [this, watch, line = std::move(line)] { return subscription_->received(watch, line, clock_.now()); });
 }
 
-void SubscriptionTask::onLost(WatchId watch, const std::string& why) {
+void SubscriptionTask::onLost(WatchId watch, const std::string& reason) {
   watches_.erase(watch);
-  happen([this, watch, why] { return subscription_->lost(watch, why, clock_.now()); });
+  enqueue([this, watch, reason] { return subscription_->lost(watch, reason, clock_.now()); });
 }
 
-void SubscriptionTask::happen(Event event) {
+void SubscriptionTask::enqueue(Event event) {
   events_.push_back(std::move(event));
   runEvents();
 }
 
 void SubscriptionTask::runEvents() {
-  if (carrying_out_) return;  // the loop below goes on with it
-  carrying_out_ = true;
+  if (executing_) return;  // called from within the loop below, which processes the event
+  executing_ = true;
   while (!applying_ && !events_.empty()) {
     const Event event = std::move(events_.front());
     events_.pop_front();
-    carryOut(event());
+    execute(event());
   }
-  carrying_out_ = false;
-  if (!applying_) arm();
+  executing_ = false;
+  if (!applying_) armTimer();
 }
 
-void SubscriptionTask::arm() {
+void SubscriptionTask::armTimer() {
   const Time next = subscription_ ? subscription_->nextDue() : kNever;
-  if (next == kNever || armed_for_ <= next) return;  // due earlier: looked at again then
-  armed_for_ = next;
+  if (next == kNever || timer_due_ <= next) return;  // an earlier timer is armed, which rearms when it fires
+  timer_due_ = next;
   timer_.expires_after(std::chrono::microseconds(std::max<Time>(next - clock_.now(), 0)));
-  timer_.async_wait([this, alive = std::weak_ptr(alive_), life = life_](boost::system::error_code ec) {
-    if (ec || alive.expired() || life != life_) return;
-    armed_for_ = kNever;
-    happen([this] { return subscription_->due(clock_.now()); });
+  timer_.async_wait([this, alive = std::weak_ptr(alive_), run = run_](boost::system::error_code ec) {
+    if (ec || alive.expired() || run != run_) return;
+    timer_due_ = kNever;
+    enqueue([this] { return subscription_->due(clock_.now()); });
   });
 }
 
 // ---- actions ----
 
-void SubscriptionTask::carryOut(Actions actions) {
-  const std::uint64_t life = life_;
+void SubscriptionTask::execute(Actions actions) {
+  const std::uint64_t run = run_;
   for (const Action& action : actions) {
-    std::visit([this](const auto& one) { carryOut(one); }, action);
-    if (life != life_) return;
+    std::visit([this](const auto& alternative) { execute(alternative); }, action);
+    if (run != run_) return;
   }
 }
 
-void SubscriptionTask::carryOut(const OpenWatch& action) {
+void SubscriptionTask::execute(const OpenWatch& action) {
   const auto watch =
       std::make_shared<WatchConnection>(io_, static_cast<WatchHandler&>(*this), traffic_, action.watch);
   watches_[action.watch] = watch;
-  watch->start(settings_.replicas[action.replica].at,
+  watch->start(settings_.replicas[action.replica].endpoint,
                "/v1/configuration?watch=1&member=" + std::to_string(settings_.member) +
                    "&from=" + std::to_string(action.from) + "&digest=" + action.digest);
 }
 
-void SubscriptionTask::carryOut(const CloseWatch& action) {
+void SubscriptionTask::execute(const CloseWatch& action) {
   const auto watch = watches_.find(action.watch);
   if (watch == watches_.end()) return;
   watch->second->stop();
   watches_.erase(watch);
 }
 
-void SubscriptionTask::carryOut(const Apply& action) {
+void SubscriptionTask::execute(const Apply& action) {
   applying_ = true;
-  apply_(action.change, [this, alive = std::weak_ptr(alive_), life = life_](const ApplyResult& result) {
-    if (alive.expired() || life != life_) return;
+  apply_(action.change, [this, alive = std::weak_ptr(alive_), run = run_](const ApplyResult& result) {
+    if (alive.expired() || run != run_) return;
     applying_ = false;
     events_.push_front([this, result] { return subscription_->applied(result, clock_.now()); });
     runEvents();
   });
 }
 
-void SubscriptionTask::carryOut(const SendAcknowledgement& action) {
+void SubscriptionTask::execute(const SendAcknowledgement& action) {
   std::string body;
   try {
     body = distribution::formatAcknowledgement(action.acknowledgement);
   } catch (const distribution::CodecError&) {
-    distribution::Acknowledgement plain = action.acknowledgement;
-    plain.refused->error = "its error is not UTF-8: see the log of this member";
-    body = distribution::formatAcknowledgement(plain);
+    distribution::Acknowledgement sanitized = action.acknowledgement;
+    sanitized.refused->error = "the error message is not valid UTF-8; see the log of this member";
+    body = distribution::formatAcknowledgement(sanitized);
   }
   ++traffic_.acknowledgements;
   call_ = std::make_shared<AcknowledgementCall>(io_, traffic_, [this](bool delivered) {
-    happen([this, delivered] { return subscription_->acknowledged(delivered, clock_.now()); });
+    enqueue([this, delivered] { return subscription_->acknowledged(delivered, clock_.now()); });
   });
-  call_->start(settings_.replicas[action.replica].at, body);
+  call_->start(settings_.replicas[action.replica].endpoint, body);
 }
 
-void SubscriptionTask::carryOut(const Report& action) const {
+void SubscriptionTask::execute(const Report& action) const {
   if (log_) log_("configuration: " + action.text, action.error);
 }
 
-// ---- what operators see ----
+// ---- metrics and status ----
 
 std::string SubscriptionTask::figures() const {
-  const Counters all = subscription_ ? sum(earlier_, subscription_->counters()) : earlier_;
+  const Counters all = subscription_ ? sum(previous_runs_, subscription_->counters()) : previous_runs_;
   const bool refused = subscription_ && subscription_->refusal().has_value();
   std::string out =
-      figure("app_configuration_version", "gauge", subscription_ ? subscription_->inForce().version : 0);
-  out += figure("app_configuration_refused", "gauge", refused ? subscription_->refusal()->version : 0);
-  out += figure("app_configuration_watching", "gauge",
+      metric("app_configuration_version", "gauge", subscription_ ? subscription_->inForce().version : 0);
+  out += metric("app_configuration_refused", "gauge", refused ? subscription_->refusal()->version : 0);
+  out += metric("app_configuration_watching", "gauge",
                 subscription_ && subscription_->watchedReplica().has_value() ? 1 : 0);
-  out += figure("app_configuration_taken_total", "counter", all.taken);
-  out += figure("app_configuration_refused_total", "counter", all.refused);
-  out += figure("app_configuration_not_stored_total", "counter", all.not_stored);
-  out += figure("app_configuration_faults_total", "counter", all.faults);
-  out += figure("app_configuration_reconnects_total", "counter", all.reconnects());
-  out += figure("app_configuration_acknowledgements_total", "counter", traffic_.acknowledgements);
-  out += figure("app_configuration_bytes_in_total", "counter", traffic_.bytes_in);
-  out += figure("app_configuration_bytes_out_total", "counter", traffic_.bytes_out);
+  out += metric("app_configuration_taken_total", "counter", all.taken);
+  out += metric("app_configuration_refused_total", "counter", all.refused);
+  out += metric("app_configuration_not_stored_total", "counter", all.not_stored);
+  out += metric("app_configuration_faults_total", "counter", all.faults);
+  out += metric("app_configuration_reconnects_total", "counter", all.reconnects());
+  out += metric("app_configuration_acknowledgements_total", "counter", traffic_.acknowledgements);
+  out += metric("app_configuration_bytes_in_total", "counter", traffic_.bytes_in);
+  out += metric("app_configuration_bytes_out_total", "counter", traffic_.bytes_out);
   return out;
 }
 
--- a/src/subscription/watch_connection.cpp
+++ b/src/subscription/watch_connection.cpp
@@ -27,7 +27,7 @@
     if (connected) return self->fail("cannot connect: " + connected.message());
     boost::asio::async_write(self->socket_, boost::asio::buffer(self->request_),
                              [self](error_code written, std::size_t) {
-                               if (written) self->fail("cannot ask: " + written.message());
+                               if (written) self->fail("cannot send the request: " + written.message());
                              });
     self->traffic_.bytes_out += self->request_.size();
     self->read();
@@ -44,7 +44,7 @@
 void WatchConnection::read() {
   socket_.async_read_some(in_.space(kReadBytes), [self = shared_from_this()](error_code ec, std::size_t n) {
     if (self->handler_ == nullptr) return;
-    if (ec) return self->fail("the watch broke: " + ec.message());
+    if (ec) return self->fail("connection lost: " + ec.message());
     self->in_.commit(n);
     self->traffic_.bytes_in += n;
     self->parse();
@@ -57,14 +57,14 @@
     const std::size_t used = parser_.put(in_.data(), ec);
     in_.consume(used);
     if (ec == http::error::need_more && in_.size() <= kMostHead + kReadBytes) break;
-    if (ec) return fail("the answer is malformed: " + ec.message());
+    if (ec) return fail("malformed response: " + ec.message());
     if (!parser_.is_header_done()) continue;
-    if (parser_.status != kOk) return fail("answered " + std::to_string(parser_.status));
+    if (parser_.status != kOk) return fail("unexpected HTTP status " + std::to_string(parser_.status));
     parser_.eager(true);
   }
   if (!deliverLines()) return;
-  if (parser_.is_done()) return fail("the watch ended");
-  if (parser_.body.size() > distribution::kMaxBodyBytes) return fail("a line is too long");
+  if (parser_.is_done()) return fail("the replica ended the watch");
+  if (parser_.body.size() > distribution::kMaxBodyBytes) return fail("a line exceeds the size limit");
   if (in_.size() == 0) in_.release();
   read();
 }
@@ -87,18 +87,18 @@
   try {
     parsed = distribution::parseWatchLine(line);
   } catch (const distribution::CodecError& e) {
-    fail(std::string("a line is malformed: ") + e.what());
+    fail(std::string("malformed line: ") + e.what());
     return false;
   }
   handler_->onLine(id_, std::move(parsed));
   return handler_ != nullptr;
 }
 
-void WatchConnection::fail(const std::string& why) {
+void WatchConnection::fail(const std::string& reason) {
   const auto self = shared_from_this();
   WatchHandler* const handler = handler_;
   stop();
-  if (handler != nullptr) handler->onLost(id_, why);
+  if (handler != nullptr) handler->onLost(id_, reason);
 }
 
 }  // namespace client_proxy::subscription
--- a/tests/subscription_proxy_test.cpp
+++ b/tests/subscription_proxy_test.cpp
@@ -1,5 +1,5 @@
-// The program with a shared configuration, against replicas that are scripted here: what is taken, refused,
-// kept.
+// Tests the program with a shared configuration against scripted replicas: which changes are applied, refused
+// and stored on disk.
 #include <algorithm>
 #include <chrono>
 #include <set>
@@ -25,30 +25,30 @@
           .previous_digest = distribution::digestOf("")};
 }
 
-// Answers watches with heartbeats, takes acknowledgements in, says what it is told to.
+// Answers watches with heartbeats, records acknowledgements and sends the lines given to send().
 class ScriptedReplica {
  public:
   explicit ScriptedReplica(Loop& loop) : host_(loop) {}
   tcp::endpoint endpoint() const { return host_.endpoint(); }
 
-  // To be called again and again: answers what came meanwhile.
+  // Answers the requests received since the last call; to be called repeatedly.
   void serve() {
     const auto now = std::chrono::steady_clock::now();
-    const bool beat = beats && now - beaten_ > std::chrono::seconds(1);
-    if (beat) beaten_ = now;
+    const bool heartbeat_due = heartbeats && now - last_heartbeat_ > std::chrono::seconds(1);
+    if (heartbeat_due) last_heartbeat_ = now;
     for (const auto& peer : host_.peers) {
       const std::size_t head = peer->got.find("\r\n\r\n");
       if (head == std::string::npos) continue;
       if (peer->heard("GET /v1/configuration")) {
         if (answered_.insert(peer).second) peer->say(kWatch + chunk("\n"));
-        if (beat && !peer->ended) peer->say(chunk("\n"));
+        if (heartbeat_due && !peer->ended) peer->say(chunk("\n"));
       } else if (peer->got.back() == '}' && answered_.insert(peer).second) {
         acknowledgements.push_back(distribution::parseAcknowledgement(peer->got.substr(head + 4)));
         peer->say("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n");
       }
     }
   }
-  void tell(const distribution::WatchLine& line) { watches().back()->say(chunk(formatWatchLine(line))); }
+  void send(const distribution::WatchLine& line) { watches().back()->say(chunk(formatWatchLine(line))); }
   std::vector<std::shared_ptr<Peer>> watches() const {
     std::vector<std::shared_ptr<Peer>> all;
     for (const auto& peer : host_.peers) {
@@ -56,11 +56,11 @@
     }
     return all;
   }
-  const Acknowledgement* last() const {
+  const Acknowledgement* lastAcknowledgement() const {
     return acknowledgements.empty() ? nullptr : &acknowledgements.back();
   }
 
-  bool beats = true;
+  bool heartbeats = true;
   std::vector<Acknowledgement> acknowledgements;
 
  private:
@@ -71,53 +71,55 @@
   }
   Host host_;
   std::set<std::shared_ptr<Peer>> answered_;
-  std::chrono::steady_clock::time_point beaten_{};
+  std::chrono::steady_clock::time_point last_heartbeat_{};
 };
 
-const std::string kFirst = "admission {\n  open 64\n}\n", kSecond = "admission {\n  open 96\n}\n";
+const std::string kInitialText = "admission {\n  open 64\n}\n", kUpdatedText = "admission {\n  open 96\n}\n";
 
 class SubscriptionProxyTest : public ::testing::Test {
  protected:
   void SetUp() override {
     fs::create_directory(files.path("shared"));
-    files.write("shared/shared.conf", kFirst);
+    files.write("shared/shared.conf", kInitialText);
   }
-  // `more`: of the operator file.
-  void start(const std::string& more) {
+  // `extra` is appended to the operator file.
+  void start(const std::string& extra) {
     listen = freePort(loop);
     status = freePort(loop);
     std::string text =
-        alone(poolOf({host.endpoint()}), "status {\n  listen " + textOf(status) + "\n}\n" + more);
+        alone(poolOf({host.endpoint()}), "status {\n  listen " + textOf(status) + "\n}\n" + extra);
     text.replace(text.find("127.0.0.1:0"), 11, textOf(listen));
     program =
         std::make_unique<Program>(std::vector<std::string>{"run", "--operator", files.write("op.conf", text)},
                                   std::vector<std::string>{}, files.path("log"));
   }
   void startWatching() {
-    start(statement());
+    start(configurationBlock());
     ASSERT_TRUE(until([&] { return !replica.watches().empty(); })) << log();
   }
-  std::string statement() const {
+  std::string configurationBlock() const {
     return "configuration {\n  file shared/shared.conf\n  replica 1 " + textOf(replica.endpoint()) +
-           "\n  replica 2 " + textOf(second.endpoint()) + "\n}\n";
+           "\n  replica 2 " + textOf(second_replica.endpoint()) + "\n}\n";
   }
   bool until(const std::function<bool()>& done) {
     return loop.until([&] {
       replica.serve();
-      second.serve();
+      second_replica.serve();
       return done();
     });
   }
   bool acknowledged(distribution::Version version) {
-    return until([&] { return replica.last() != nullptr && replica.last()->version == version; });
+    return until([&] {
+      return replica.lastAcknowledgement() != nullptr && replica.lastAcknowledgement()->version == version;
+    });
   }
-  bool refused(distribution::Version version) {
+  bool refusalReported(distribution::Version version) {
     return until([&] {
-      return replica.last() != nullptr && replica.last()->refused &&
-             replica.last()->refused->version == version;
+      return replica.lastAcknowledgement() != nullptr && replica.lastAcknowledgement()->refused &&
+             replica.lastAcknowledgement()->refused->version == version;
     });
   }
-  // The body of a GET; empty: nobody answers.
+  // Returns the response to a GET request; empty if no response was received.
   std::string get(const tcp::endpoint& at, const std::string& path) {
     std::string body;
     until([&] {
@@ -128,17 +130,17 @@
             [&] { return peer->ended || peer->heard("\n}") || peer->heard("app_configuration_bytes_out"); });
         body = peer->got;
       } catch (const boost::system::system_error&) {
-        return false;  // not yet
+        return false;  // not listening yet
       }
       return true;
     });
     return body;
   }
-  json page() {
+  json statusPage() {
     const std::string answer = get(status, "/configuration");
     return json::parse(answer.substr(std::min(answer.find("\r\n\r\n"), answer.size())), nullptr, false);
   }
-  bool serves() {
+  bool servesRequests() {
     const auto c = Peer::connect(loop, listen);
     c->say(request("r-1"));
     return until([&] {
@@ -156,119 +158,122 @@
   Loop loop;
   Files files;
   Host host{loop};
-  ScriptedReplica replica{loop}, second{loop};  // client 0's first choice, and its next
+  ScriptedReplica replica{loop}, second_replica{loop};  // first and second choice of client 0
   tcp::endpoint listen, status;
   std::set<std::shared_ptr<Peer>> answered;
   std::unique_ptr<Program> program;
 };
 
-TEST_F(SubscriptionProxyTest, AChangeIsInForceOnDiskAndAcknowledgedAndOutlivesARestartWithoutAnyReplica) {
+TEST_F(SubscriptionProxyTest, ChangeIsAppliedStoredAcknowledgedAndSurvivesARestartWithoutReplicas) {
   startWatching();
-  EXPECT_TRUE(replica.watches()[0]->heard("&member=0&from=0&digest=" + distribution::digestOf(kFirst)));
-  ASSERT_TRUE(acknowledged(0)) << "of the new watch";
-  const Change change = changeOf(42, kSecond);
-  replica.tell(distribution::noticeOf(change));
+  EXPECT_TRUE(replica.watches()[0]->heard("&member=0&from=0&digest=" + distribution::digestOf(kInitialText)));
+  ASSERT_TRUE(acknowledged(0)) << "the new watch was not acknowledged";
+  const Change change = changeOf(42, kUpdatedText);
+  replica.send(distribution::noticeOf(change));
   ASSERT_TRUE(acknowledged(42)) << log();
-  EXPECT_EQ(replica.last()->digest, change.digest);
-  EXPECT_FALSE(replica.last()->restart_needed);
+  EXPECT_EQ(replica.lastAcknowledgement()->digest, change.digest);
+  EXPECT_FALSE(replica.lastAcknowledgement()->restart_needed);
   EXPECT_EQ(contentOf("shared/shared.conf"), subscription::formatSharedFile(change));
-  EXPECT_EQ(page().value("version", 0), 42);
-  EXPECT_EQ(page().value("replica", 0), 1);
+  EXPECT_EQ(statusPage().value("version", 0), 42);
+  EXPECT_EQ(statusPage().value("replica", 0), 1);
   EXPECT_NE(get(status, "/stats").find("app_configuration_version 42\n"), std::string::npos);
   EXPECT_NE(log().find("admission: open 64 -> 96"), std::string::npos) << log();
-  // A delta, and one part of it for the next start.
-  const Change third = changeOf(43, kSecond + "limits {\n  sockets 200\n}\n");
-  replica.tell(distribution::noticeOf(third, change));
+  // A delta of which one part takes effect only after a restart.
+  const Change third = changeOf(43, kUpdatedText + "limits {\n  sockets 200\n}\n");
+  replica.send(distribution::noticeOf(third, change));
   ASSERT_TRUE(acknowledged(43)) << log();
-  EXPECT_TRUE(replica.last()->restart_needed);
+  EXPECT_TRUE(replica.lastAcknowledgement()->restart_needed);
   program->signal(SIGKILL);
-  replica.beats = false;
+  replica.heartbeats = false;
   start("configuration {\n  file shared/shared.conf\n  replica 1 127.0.0.1:1\n}\n");
-  EXPECT_EQ(page().value("version", 0), 43) << log();
-  EXPECT_FALSE(page().value("restart_needed", true));
-  EXPECT_TRUE(serves());
+  EXPECT_EQ(statusPage().value("version", 0), 43) << log();
+  EXPECT_FALSE(statusPage().value("restart_needed", true));
+  EXPECT_TRUE(servesRequests());
 }
 
-TEST_F(SubscriptionProxyTest, WhatDoesNotCheckIsRefusedWithLineAndKeyAndTheOldOneServesOn) {
+TEST_F(SubscriptionProxyTest, InvalidChangeIsRefusedWithLineAndKeyAndTheOldConfigurationStaysInForce) {
   startWatching();
-  replica.tell(distribution::noticeOf(changeOf(1, kFirst)));
+  replica.send(distribution::noticeOf(changeOf(1, kInitialText)));
   ASSERT_TRUE(acknowledged(1)) << log();
   const auto written = fs::last_write_time(files.path("shared/shared.conf"));
-  replica.tell(distribution::noticeOf(changeOf(2, "admission {\n  opn 96\n}\n")));
-  ASSERT_TRUE(refused(2)) << log();
-  EXPECT_EQ(replica.last()->version, 1U);
-  EXPECT_EQ(replica.last()->refused->error,
+  replica.send(distribution::noticeOf(changeOf(2, "admission {\n  opn 96\n}\n")));
+  ASSERT_TRUE(refusalReported(2)) << log();
+  EXPECT_EQ(replica.lastAcknowledgement()->version, 1U);
+  EXPECT_EQ(replica.lastAcknowledgement()->refused->error,
             files.path("shared/shared.conf") + ":2:3: error: 'opn' is not known here; did you mean open?");
-  EXPECT_EQ(contentOf("shared/shared.conf"), subscription::formatSharedFile(changeOf(1, kFirst)));
-  EXPECT_EQ(fs::last_write_time(files.path("shared/shared.conf")), written) << "never on disk";
-  EXPECT_TRUE(serves());
-  // It checks by itself, but not with the operator file that includes it.
-  replica.tell(distribution::noticeOf(changeOf(3, "status {\n  listen 127.0.0.1:1\n}\n")));
-  ASSERT_TRUE(refused(3));
-  EXPECT_NE(replica.last()->refused->error.find("error: 'status' is there twice; it is in "),
+  EXPECT_EQ(contentOf("shared/shared.conf"), subscription::formatSharedFile(changeOf(1, kInitialText)));
+  EXPECT_EQ(fs::last_write_time(files.path("shared/shared.conf")), written) << "the refused text was written";
+  EXPECT_TRUE(servesRequests());
+  // Valid by itself, but in conflict with the operator file that includes it.
+  replica.send(distribution::noticeOf(changeOf(3, "status {\n  listen 127.0.0.1:1\n}\n")));
+  ASSERT_TRUE(refusalReported(3));
+  EXPECT_NE(replica.lastAcknowledgement()->refused->error.find("error: 'status' is there twice; it is in "),
             std::string::npos);
-  replica.tell(distribution::noticeOf(changeOf(4, kSecond)));
+  replica.send(distribution::noticeOf(changeOf(4, kUpdatedText)));
   ASSERT_TRUE(acknowledged(4)) << log();
-  EXPECT_FALSE(replica.last()->refused);
+  EXPECT_FALSE(replica.lastAcknowledgement()->refused);
 }
 
-TEST_F(SubscriptionProxyTest, AfterADeltaWithAWrongDigestTheWholeTextIsAskedAndTaken) {
+TEST_F(SubscriptionProxyTest, WrongDeltaDigestRequestsAndAppliesTheFullText) {
   startWatching();
-  const Change first = changeOf(1, kFirst), change = changeOf(2, kSecond);
-  replica.tell(distribution::noticeOf(first));
+  const Change first = changeOf(1, kInitialText), change = changeOf(2, kUpdatedText);
+  replica.send(distribution::noticeOf(first));
   ASSERT_TRUE(acknowledged(1)) << log();
   distribution::ChangeNotice wrong = distribution::noticeOf(change);
   wrong.content = distribution::Delta{1, first.digest, {{0, 1, "A"}}};
-  replica.tell(wrong);
+  replica.send(wrong);
   ASSERT_TRUE(until([&] { return replica.watches().size() == 2; })) << log();
   EXPECT_TRUE(replica.watches()[1]->heard("&from=0&"));
-  EXPECT_TRUE(second.watches().empty());
-  ASSERT_TRUE(refused(2));
-  EXPECT_EQ(replica.last()->refused->error, "the delta gives a text with another digest");
+  EXPECT_TRUE(second_replica.watches().empty());
+  ASSERT_TRUE(refusalReported(2));
+  EXPECT_EQ(replica.lastAcknowledgement()->refused->error,
+            "the delta produces a text with a different digest");
   EXPECT_EQ(contentOf("shared/shared.conf"), subscription::formatSharedFile(first));
-  replica.tell(distribution::noticeOf(change));
+  replica.send(distribution::noticeOf(change));
   ASSERT_TRUE(acknowledged(2)) << log();
 }
 
-TEST_F(SubscriptionProxyTest, ASilentReplicaIsLeftForTheNextAndSigtermClosesTheWatch) {
+TEST_F(SubscriptionProxyTest, MovesFromASilentReplicaToTheNextAndSigtermClosesTheWatch) {
   startWatching();
   ASSERT_TRUE(acknowledged(0));
-  replica.beats = false;
+  replica.heartbeats = false;
   const auto silent = std::chrono::steady_clock::now();
-  ASSERT_TRUE(until([&] { return !second.watches().empty(); })) << log();
+  ASSERT_TRUE(until([&] { return !second_replica.watches().empty(); })) << log();
   const auto after = std::chrono::steady_clock::now() - silent;
-  EXPECT_GT(after, std::chrono::milliseconds(4300 - 1100)) << "a heartbeat came up to a second before";
+  EXPECT_GT(after, std::chrono::milliseconds(4300 - 1100))
+      << "left too early; the last heartbeat was sent up to a second before";
   EXPECT_TRUE(replica.watches()[0]->ended);
   EXPECT_NE(get(status, "/stats").find("app_configuration_reconnects_total 1\n"), std::string::npos);
-  // Before requests in flight have ended, not with the process.
+  // The watch is closed before requests in flight have ended, not when the process exits.
   const auto client = Peer::connect(loop, listen);
   client->say(request("in-flight"));
   ASSERT_TRUE(until([&] { return !host.peers.empty() && host.peers.back()->heard("\r\n\r\n"); }));
   program->signal(SIGTERM);
-  ASSERT_TRUE(until([&] { return second.watches()[0]->ended; }));
+  ASSERT_TRUE(until([&] { return second_replica.watches()[0]->ended; }));
   EXPECT_FALSE(client->ended);
   host.peers.back()->say(answerOf("done"));
   EXPECT_TRUE(until([&] { return client->heard("done"); }));
 }
 
-TEST_F(SubscriptionProxyTest, WhatCanNotBeWrittenIsToldNotTakenAndTriedAgain) {
+TEST_F(SubscriptionProxyTest, StorageFailureIsReportedNotAppliedAndRetried) {
   startWatching();
   ASSERT_TRUE(acknowledged(0));
   fs::rename(files.path("shared"), files.path("away"));
-  replica.tell(distribution::noticeOf(changeOf(1, kSecond)));
-  ASSERT_TRUE(refused(1)) << log();
-  EXPECT_EQ(replica.last()->refused->error,
+  replica.send(distribution::noticeOf(changeOf(1, kUpdatedText)));
+  ASSERT_TRUE(refusalReported(1)) << log();
+  EXPECT_EQ(replica.lastAcknowledgement()->refused->error,
             files.path("shared/shared.conf") + ": can't be written: No such file or directory");
-  EXPECT_EQ(replica.last()->version, 0U);
-  EXPECT_EQ(log().find("admission: open 64 -> 96"), std::string::npos) << "not in force before it is on disk";
+  EXPECT_EQ(replica.lastAcknowledgement()->version, 0U);
+  EXPECT_EQ(log().find("admission: open 64 -> 96"), std::string::npos)
+      << "in force before it was stored on disk";
   fs::rename(files.path("away"), files.path("shared"));
   ASSERT_TRUE(acknowledged(1)) << log();
-  EXPECT_EQ(contentOf("shared/shared.conf"), subscription::formatSharedFile(changeOf(1, kSecond)));
+  EXPECT_EQ(contentOf("shared/shared.conf"), subscription::formatSharedFile(changeOf(1, kUpdatedText)));
 }
 
-TEST_F(SubscriptionProxyTest, AfterSighupWhatIsOnDiskIsInForceAndReplacedByWhatWasPublished) {
+TEST_F(SubscriptionProxyTest, SighupAppliesTheEditedFileAndThePublishedTextReplacesIt) {
   startWatching();
-  replica.tell(distribution::noticeOf(changeOf(1, kFirst)));
+  replica.send(distribution::noticeOf(changeOf(1, kInitialText)));
   ASSERT_TRUE(acknowledged(1)) << log();
   std::string edited = contentOf("shared/shared.conf");
   edited.replace(edited.find("64"), 2, "65");
@@ -276,12 +281,12 @@
   program->signal(SIGHUP);
   ASSERT_TRUE(until([&] { return replica.watches().size() == 2; })) << log();
   EXPECT_TRUE(replica.watches()[1]->heard("&from=0&"));
-  replica.tell(distribution::noticeOf(changeOf(1, kFirst)));
+  replica.send(distribution::noticeOf(changeOf(1, kInitialText)));
   ASSERT_TRUE(until([&] { return log().find("admission: open 65 -> 64") != std::string::npos; })) << log();
 }
 
-// Beside a platform's configuration, where one process takes another's place.
-TEST_F(SubscriptionProxyTest, InAHandOverTheOldProcessClosesItsWatchAndTheNewOneBeginsFromTheFile) {
+// Together with a platform configuration, where a new process takes over from the old one.
+TEST_F(SubscriptionProxyTest, HandoverClosesTheOldWatchAndTheNewProcessStartsFromTheStoredFile) {
   Host discovery{loop};
   const ConfigFile platform(json::array({entry("s-1", host.endpoint())}), discovery.endpoint());
   tcp::acceptor listener(loop.io, anyPort());
@@ -289,7 +294,7 @@
   const std::string operator_file =
       files.write("op.conf", "configuration {\n  file shared/shared.conf\n  replica 1 " +
                                  textOf(replica.endpoint()) + "\n}\n");
-  const auto startOne = [&] {
+  const auto startProcess = [&] {
     return std::make_unique<Program>(
         std::vector<std::string>{},
         std::vector<std::string>{"PROXY_CONFIG=" + platform.path, "PROXY_OPERATOR=" + operator_file,
@@ -297,31 +302,31 @@
                                  "TMPDIR=" + files.path("")},
         files.path("log"), listener.native_handle());
   };
-  const auto old = startOne();
+  const auto old = startProcess();
   ASSERT_TRUE(until([&] { return !replica.watches().empty(); })) << log();
-  replica.tell(distribution::noticeOf(changeOf(1, kFirst)));
+  replica.send(distribution::noticeOf(changeOf(1, kInitialText)));
   ASSERT_TRUE(acknowledged(1)) << log();
-  const std::uint64_t sequence = replica.last()->sequence;
-  const auto next = startOne();
+  const std::uint64_t sequence = replica.lastAcknowledgement()->sequence;
+  const auto next = startProcess();
   ASSERT_TRUE(until([&] { return replica.watches().size() == 2 && replica.watches()[0]->ended; })) << log();
-  EXPECT_TRUE(replica.watches()[1]->heard("&from=1&digest=" + distribution::digestOf(kFirst)));
-  replica.tell(distribution::noticeOf(changeOf(2, kSecond)));
+  EXPECT_TRUE(replica.watches()[1]->heard("&from=1&digest=" + distribution::digestOf(kInitialText)));
+  replica.send(distribution::noticeOf(changeOf(2, kUpdatedText)));
   ASSERT_TRUE(acknowledged(2)) << log();
-  EXPECT_GT(replica.last()->sequence, sequence);
-  EXPECT_EQ(replica.watches().size(), 2U) << "the old process asks no more";
+  EXPECT_GT(replica.lastAcknowledgement()->sequence, sequence);
+  EXPECT_EQ(replica.watches().size(), 2U) << "the old process opened another watch";
 }
 
-TEST_F(SubscriptionProxyTest, WithoutTheStatementNothingOfItExists) {
+TEST_F(SubscriptionProxyTest, WithoutConfigurationBlockThereIsNoStatusPageMetricOrWatch) {
   start("");
   EXPECT_NE(get(status, "/configuration").find("HTTP/1.1 404"), std::string::npos);
-  EXPECT_TRUE(serves());
+  EXPECT_TRUE(servesRequests());
   EXPECT_EQ(get(status, "/stats").find("configuration"), std::string::npos);
   EXPECT_TRUE(replica.watches().empty());
 }
 
-// ---- the file ----
+// ---- shared file ----
 
-TEST(SharedFile, ItSaysWhatIsInForceAlsoWhereTheTextHasNoLastLineBreakOrWasEdited) {
+TEST(SharedFile, ParsesWhatWasFormattedWithoutFinalLineBreakAndDetectsEdits) {
   for (const char* const text : {"", "open 64", "open 64\n", "a\n\n", "# version 7 digest x\n"}) {
     const Change change = changeOf(42, text);
     const subscription::InForce read = subscription::parseSharedFile(subscription::formatSharedFile(change));
@@ -339,7 +344,7 @@
   EXPECT_EQ(edited.digest, distribution::digestOf("open 65\n"));
 }
 
-TEST(SharedFile, ItIsReplacedAsAWholeWithItsRightsAndALinkStaysOne) {
+TEST(SharedFile, ReplacementIsAtomicAndKeepsPermissionsAndSymbolicLinks) {
   Files files;
   files.write("real.conf", "old\n");
   fs::permissions(files.path("real.conf"), fs::perms::owner_read | fs::perms::owner_write);
@@ -349,7 +354,7 @@
   EXPECT_EQ(DiskSource().read(files.path("real.conf")), "new\n");
   EXPECT_EQ(fs::status(files.path("real.conf")).permissions(),
             fs::perms::owner_read | fs::perms::owner_write);
-  fs::create_directory(files.path("real.conf.new"));  // in the way of the temporary file
+  fs::create_directory(files.path("real.conf.new"));  // blocks creation of the temporary file
   EXPECT_EQ(subscription::replaceSharedFile(files.path("real.conf"), "newer\n"),
             files.path("real.conf") + ": can't be written: Is a directory");
   EXPECT_EQ(DiskSource().read(files.path("real.conf")), "new\n");
