--- a/src/subscription/include/subscription/subscription.h
+++ b/src/subscription/include/subscription/subscription.h
@@ -187,9 +187,9 @@
   void applyChange(distribution::Change change, Actions& actions);
   void scheduleAcknowledgement(Time now);
   void sendAcknowledgement(Time now, Actions& actions);
-  // Uniformly distributed in [0, most).
-  Time randomUpTo(Time most) { return static_cast<Time>(random_.unit() * static_cast<double>(most)); }
-  Time randomBetween(Time least, Time most) { return least + randomUpTo(most - least); }
+  // Uniformly distributed in [0, max).
+  Time randomUpTo(Time max) { return static_cast<Time>(random_.unit() * static_cast<double>(max)); }
+  Time randomBetween(Time min, Time max) { return min + randomUpTo(max - min); }
   // Exponential back-off after `failures` consecutive failures, randomly varied by up to 50 %.
   Time backoff(Time initial, Time max, std::uint32_t failures);
   const Replica& replicaAt(std::size_t position) const { return settings_.replicas[order_[position]]; }
--- a/tests/subscription_proxy_test.cpp
+++ b/tests/subscription_proxy_test.cpp
@@ -237,10 +237,10 @@
   startWatching();
   ASSERT_TRUE(acknowledged(0));
   replica.heartbeats = false;
-  const auto silent = std::chrono::steady_clock::now();
+  const auto silent_since = std::chrono::steady_clock::now();
   ASSERT_TRUE(until([&] { return !second_replica.watches().empty(); })) << log();
-  const auto after = std::chrono::steady_clock::now() - silent;
-  EXPECT_GT(after, std::chrono::milliseconds(4300 - 1100))
+  const auto elapsed = std::chrono::steady_clock::now() - silent_since;
+  EXPECT_GT(elapsed, std::chrono::milliseconds(4300 - 1100))
       << "left too early; the last heartbeat was sent up to a second before";
   EXPECT_TRUE(replica.watches()[0]->ended);
   EXPECT_NE(get(status, "/stats").find("app_configuration_reconnects_total 1\n"), std::string::npos);
--- a/tests/subscription_test.cpp
+++ b/tests/subscription_test.cpp
@@ -195,9 +195,9 @@
   ASSERT_TRUE(w.subscription.refusal());
   EXPECT_EQ(w.subscription.refusal()->error, "the delta produces a text with a different digest");
   w.subscription.connected(opened[0].watch, w.now);
-  const auto whole =
+  const auto full =
       w.subscription.received(opened[0].watch, distribution::noticeOf(changeOf(42, "open 96\n")), w.now);
-  EXPECT_EQ(actionsOf<Apply>(whole).size(), 1U);
+  EXPECT_EQ(actionsOf<Apply>(full).size(), 1U);
 }
 
 TEST(Subscription, LocallyEditedTextIsReplacedByThePublishedTextOfItsVersion) {
@@ -344,13 +344,13 @@
 
 TEST(Subscription, WithoutQuorumTriesOtherReplicasAtALowRateAndMovesOnlyToOneWithQuorum) {
   WatchingSubscriber w;
-  int tried = 0;
+  int candidates_tried = 0;
   w.receive(QuorumNotice{1, false});  // sent once; heartbeats continue
   for (const Time end = w.now + 60 * kMinute; w.now < end;) {
     w.receive(Heartbeat{});
     w.now += kSecond;
     for (const OpenWatch& candidate : actionsOf<OpenWatch>(w.subscription.due(w.now))) {
-      ++tried;
+      ++candidates_tried;
       EXPECT_NE(candidate.replica, w.watch.replica);
       w.subscription.connected(candidate.watch, w.now);
       const Actions none = w.subscription.received(candidate.watch, QuorumNotice{2, false}, w.now);
@@ -358,8 +358,8 @@
     }
     EXPECT_EQ(w.subscription.watchedReplica(), w.watch.replica);
   }
-  EXPECT_GE(tried, 8);
-  EXPECT_LE(tried, 30);
+  EXPECT_GE(candidates_tried, 8);
+  EXPECT_LE(candidates_tried, 30);
   // A candidate with a quorum replaces the watch.
   std::vector<OpenWatch> candidate;
   for (const Time end = w.now + 60 * kMinute; candidate.empty() && w.now < end;) {
@@ -430,9 +430,9 @@
   }
   // Maximum number of calls at one replica within a tenth of a second since the last clearCalls().
   int maxCallsPerTenth() const {
-    int most = 0;
-    for (const auto& [when, count] : calls_) most = std::max(most, count);
-    return most;
+    int max_calls = 0;
+    for (const auto& [when, count] : calls_) max_calls = std::max(max_calls, count);
+    return max_calls;
   }
   int calls() const {
     int sum = 0;
