--- a/fuzz/fleet_property.cpp
+++ b/fuzz/fleet_property.cpp
@@ -80,12 +80,12 @@
 std::string brokenView(std::string_view bytes) {
   MembershipSnapshot view;
   try {
-    view = fleet_transport::rememberedFrom(bytes);
+    view = fleet_transport::snapshotFromText(bytes);
   } catch (const std::runtime_error& e) {
     return *e.what() == '\0' ? "refused without words" : "";
   }
   const std::string text = fleet_transport::toText(view);
-  if (fleet_transport::toText(fleet_transport::rememberedFrom(text)) != text)
+  if (fleet_transport::toText(fleet_transport::snapshotFromText(text)) != text)
     return "a view does not survive its own text";
   Fleet one = member();
   Out out;
--- a/src/fleet/anti_entropy.cpp
+++ b/src/fleet/anti_entropy.cpp
@@ -93,7 +93,7 @@
 
 // The block's rumours have been applied already; what this member knows better goes back.
 void Fleet::answerBlock(Time now, std::size_t slot, const Block& block, const Message& message, Out& out) {
-  if (!block.wants) return;
+  if (!block.reply_requested) return;
   std::map<Number, Standing> theirs;
   for (const Item& item : message.items) {
     if (const auto* const rumour = std::get_if<Rumour>(&item)) theirs[rumour->member] = rumour->standing;
@@ -114,7 +114,7 @@
     const auto of = held != nullptr ? roster_.find(held->member) : std::nullopt;
     if (!of) continue;
     const Member& m = roster_.at(*of);
-    if (m.version > held->version && held->wants)
+    if (m.version > held->version && held->reply_requested)
       records.emplace_back(Record{held->member, m.version, false, m.facts});
     if (m.version < held->version && *of != self_) asked.emplace_back(Held{held->member, m.version, true});
   }
--- a/src/fleet/dissemination.cpp
+++ b/src/fleet/dissemination.cpp
@@ -68,7 +68,7 @@
 bool Fleet::sendParcel(Time now, Number to, std::string bytes, Out& out) {
   const auto slot = roster_.find(to);
   if (!slot || *slot == self_ || bytes.size() > kMostCarried) return false;
-  send(now, *slot, Kind::Talk, 0, {Carried{std::move(bytes)}}, out);
+  send(now, *slot, Kind::Talk, 0, {ApplicationPayload{std::move(bytes)}}, out);
   return true;
 }
 
--- a/src/fleet/include/fleet/wire.h
+++ b/src/fleet/include/fleet/wire.h
@@ -61,17 +61,17 @@
 };
 struct Block {  // the rumours of this datagram are all that the sender knows of a block
   std::uint16_t block = 0;
-  bool wants = false;  // what the other knows better
+  bool reply_requested = false;  // what the other knows better
 };
 struct Held {  // the record of a member that the sender has
   Number member = 0;
   RecordVersion version{};
-  bool wants = false;  // the record itself, if the other has that one or a newer
+  bool reply_requested = false;  // the record itself, if the other has that one or a newer
 };
-struct Carried {  // another part's words, kept as they came
+struct ApplicationPayload {  // another part's words, kept as they came
   std::string bytes{};
 };
-using Item = std::variant<Subject, Rumour, Record, Digest, Block, Held, Carried>;
+using Item = std::variant<Subject, Rumour, Record, Digest, Block, Held, ApplicationPayload>;
 constexpr std::size_t kMostCarried = kMostDatagram - kHeader - 2;
 
 struct Message {
--- a/src/fleet/receiving.cpp
+++ b/src/fleet/receiving.cpp
@@ -80,7 +80,7 @@
 void Fleet::apply(Time now, std::size_t slot, const Message& message, Out& out) {
   bool held = false;
   for (const Item& item : message.items) {
-    if (const auto* const carried = std::get_if<Carried>(&item))
+    if (const auto* const carried = std::get_if<ApplicationPayload>(&item))
       out.parcels.push_back({roster_.at(slot).listed.number, carried->bytes});
     if (const auto* const rumour = std::get_if<Rumour>(&item)) applyRumour(now, *rumour, out);
     if (const auto* const record = std::get_if<Record>(&item)) applyRecord(now, *record, out);
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -55,10 +55,10 @@
   }
   std::uint8_t operator()(const Block& b) const {
     put(out, b.block);
-    put(out, static_cast<std::uint8_t>(b.wants));
+    put(out, static_cast<std::uint8_t>(b.reply_requested));
     return kBlock;
   }
-  std::uint8_t operator()(const Carried& c) const {
+  std::uint8_t operator()(const ApplicationPayload& c) const {
     out += c.bytes;
     return kCarried;
   }
@@ -66,7 +66,7 @@
     put(out, h.member);
     put(out, h.version.incarnation);
     put(out, h.version.sequence);
-    put(out, static_cast<std::uint8_t>(h.wants));
+    put(out, static_cast<std::uint8_t>(h.reply_requested));
     return kHeld;
   }
 };
@@ -121,7 +121,7 @@
   held.member = in.get<Number>();
   held.version.incarnation = in.get<Incarnation>();
   held.version.sequence = in.get<std::uint32_t>();
-  held.wants = in.get<std::uint8_t>() != 0;
+  held.reply_requested = in.get<std::uint8_t>() != 0;
   items.emplace_back(held);
   return true;
 }
@@ -149,7 +149,7 @@
       valid = readHeld(in, items);
       break;
     case kCarried:
-      items.emplace_back(Carried{std::string(in.take(in.left()))});
+      items.emplace_back(ApplicationPayload{std::string(in.take(in.left()))});
       break;
     default:
       return true;  // a later program's
--- a/src/fleet_transport/include/fleet_transport/membership_snapshot.h
+++ b/src/fleet_transport/include/fleet_transport/membership_snapshot.h
@@ -10,6 +10,6 @@
 
 std::string toText(const fleet::MembershipSnapshot& remembered);
 // Throws std::runtime_error with what is wrong; nothing of a text that is not whole is used.
-fleet::MembershipSnapshot rememberedFrom(std::string_view text);
+fleet::MembershipSnapshot snapshotFromText(std::string_view text);
 
 }  // namespace client_proxy::fleet_transport
--- a/src/fleet_transport/membership_snapshot.cpp
+++ b/src/fleet_transport/membership_snapshot.cpp
@@ -31,7 +31,7 @@
       .dump();
 }
 
-fleet::MembershipSnapshot rememberedFrom(std::string_view text) {
+fleet::MembershipSnapshot snapshotFromText(std::string_view text) {
   try {
     const json doc = json::parse(text);
     fleet::MembershipSnapshot out;
--- a/src/fleet_transport/udp_transport.cpp
+++ b/src/fleet_transport/udp_transport.cpp
@@ -108,7 +108,7 @@
 void UdpTransport::start(const std::string& remembered) {
   if (!remembered.empty()) {
     try {
-      fleet_->restore(rememberedFrom(remembered), clock_.now());
+      fleet_->restore(snapshotFromText(remembered), clock_.now());
     } catch (const std::runtime_error& e) {
       log_.line(std::string("fleet: what the process before this one knew is not used: ") + e.what(),
                 LogLevel::Warning);
--- a/tests/fleet_wire_test.cpp
+++ b/tests/fleet_wire_test.cpp
@@ -67,7 +67,7 @@
   EXPECT_EQ(digest.first, 4);
   EXPECT_EQ(digest.of, Digest::Of::Records);
   EXPECT_EQ(digest.hashes, (std::vector<std::uint32_t>{1, 0xFFFFFFFF}));
-  EXPECT_TRUE(std::get<Block>(d.message.items[4]).wants);
+  EXPECT_TRUE(std::get<Block>(d.message.items[4]).reply_requested);
   EXPECT_EQ(std::get<Rumour>(d.message.items[5]).member, 3);
   EXPECT_EQ(std::get<Held>(d.message.items[6]).version, (RecordVersion{5, 6}));
   const auto& record = std::get<Record>(d.message.items[7]);
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -126,8 +126,8 @@
   EXPECT_EQ(rumour.standing, (fleet::Standing{6, fleet::State::Suspect}));
   EXPECT_EQ(rumour.by, 9);
   EXPECT_EQ(std::get<fleet::Record>(decoded.message.items[1]).facts, "facts");
-  EXPECT_TRUE(std::get<fleet::Block>(decoded.message.items[2]).wants);
-  EXPECT_EQ(std::get<fleet::Carried>(decoded.message.items[3]).bytes, "bytes");
+  EXPECT_TRUE(std::get<fleet::Block>(decoded.message.items[2]).reply_requested);
+  EXPECT_EQ(std::get<fleet::ApplicationPayload>(decoded.message.items[3]).bytes, "bytes");
   fleet::Writer writer(decoded.message.header, seed);
   for (const fleet::Item& item : decoded.message.items) EXPECT_TRUE(writer.add(item));
   EXPECT_EQ(writer.finish(), contentOf("datagram.bin"));
