--- a/src/fleet/anti_entropy.cpp
+++ b/src/fleet/anti_entropy.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr Time kCompareAfter = 400 * kMillisecond;        // nobody has held the same view for so long
-constexpr Time kCompareEvery = 300 * kMillisecond;        // standings
+constexpr Time kCompareInterval = 300 * kMillisecond;     // standings
 constexpr Time kCompareRecordsSoon = 500 * kMillisecond;  // after records were found to differ
-constexpr std::size_t kMostBlocks = 8;                    // sent in answer to one digest
-constexpr std::size_t kMostDigest = 50;                   // hashes in one
-constexpr std::size_t kMostHeld = 12;                     // versions that fit a datagram
+constexpr std::size_t kMaxBlocksPerReply = 8;             // sent in answer to one digest
+constexpr std::size_t kMaxDigestHashes = 50;              // hashes in one
+constexpr std::size_t kMaxHeldPerDatagram = 12;           // versions that fit a datagram
 constexpr std::size_t kRecordOverhead = 17;               // bytes of a record beside its facts
 
 }  // namespace
@@ -27,13 +27,13 @@
   if (their_view == roster_.hash() || now - agreed_at_ <= kCompareAfter || now < compare_standings_at_)
     return;
   if (!maySpend(2 * kMostDatagram) || leaving_) return;
-  compare_standings_at_ = now + kCompareEvery;
+  compare_standings_at_ = now + kCompareInterval;
   sendDigest(now, slot, Digest::Of::Standings, out);
 }
 
 // Compares records with one member by chance, also where nothing is known to differ.
 void Fleet::compareRecords(Time now, Out& out) {
-  compare_records_at_ = now + kCompareRecordsEvery;
+  compare_records_at_ = now + kCompareRecordsInterval;
   if (!maySpend()) return;
   for (const std::size_t to : pick(1, self_)) sendDigest(now, to, Digest::Of::Records, out);
 }
@@ -44,11 +44,11 @@
   digest.of = of;
   // Fixed windows, one by chance: with windows that may begin anywhere, blocks at the ends would hardly ever
   // be compared.
-  const auto parts = static_cast<std::uint32_t>((blocks + kMostDigest - 1) / kMostDigest);
-  digest.first = static_cast<std::uint16_t>(random_.below(std::max(1U, parts)) * kMostDigest);
-  for (std::uint16_t b = digest.first; b < blocks && digest.hashes.size() < kMostDigest; ++b)
-    digest.hashes.push_back(of == Digest::Of::Standings ? roster_.standingsOf(b) : roster_.recordsOf(b));
-  send(now, slot, Kind::Talk, 0, {digest}, out);
+  const auto parts = static_cast<std::uint32_t>((blocks + kMaxDigestHashes - 1) / kMaxDigestHashes);
+  digest.first = static_cast<std::uint16_t>(random_.below(std::max(1U, parts)) * kMaxDigestHashes);
+  for (std::uint16_t b = digest.first; b < blocks && digest.hashes.size() < kMaxDigestHashes; ++b)
+    digest.hashes.push_back(of == Digest::Of::Standings ? roster_.standingsHash(b) : roster_.recordsHash(b));
+  send(now, slot, Kind::Gossip, 0, {digest}, out);
 }
 
 void Fleet::answerDigest(Time now, std::size_t slot, const Digest& digest, Out& out) {
@@ -56,16 +56,16 @@
   std::vector<std::uint16_t> differing;
   for (std::size_t i = 0; i < digest.hashes.size(); ++i) {
     const auto block = static_cast<std::uint16_t>(digest.first + i);
-    const std::uint32_t ours = records ? roster_.recordsOf(block) : roster_.standingsOf(block);
+    const std::uint32_t ours = records ? roster_.recordsHash(block) : roster_.standingsHash(block);
     if (ours != digest.hashes[i]) differing.push_back(block);
   }
   if (records && !differing.empty())
     compare_records_at_ = std::min(compare_records_at_, now + kCompareRecordsSoon);
   shuffle(differing, random_);
-  const std::size_t answered = std::min(differing.size(), records ? 1 : kMostBlocks);
+  const std::size_t answered = std::min(differing.size(), records ? 1 : kMaxBlocksPerReply);
   for (std::size_t i = 0; i < answered && maySpend(); ++i) {
     if (records)
-      sendHeld(now, slot, differing[i], out);
+      sendHeldVersions(now, slot, differing[i], out);
     else
       sendBlock(now, slot, differing[i], out);
   }
@@ -74,21 +74,21 @@
 void Fleet::sendBlock(Time now, std::size_t slot, std::uint16_t block, Out& out) {
   std::vector<Item> items = {Block{block, true}};
   for (const Member& m : roster_.membersOf(block)) {
-    if (m.standing.state != State::Unheard) items.emplace_back(rumourOf(m));
+    if (m.standing.state != State::Unknown) items.emplace_back(rumourOf(m));
   }
-  send(now, slot, Kind::Talk, 0, items, out);
+  send(now, slot, Kind::Gossip, 0, items, out);
 }
 
 // The versions of the records that this member holds of a block, in as many datagrams as it takes.
-void Fleet::sendHeld(Time now, std::size_t slot, std::uint16_t block, Out& out) {
+void Fleet::sendHeldVersions(Time now, std::size_t slot, std::uint16_t block, Out& out) {
   std::vector<Item> items;
   for (const Member& m : roster_.membersOf(block)) {
     items.emplace_back(Held{m.listed.number, m.version, true});
-    if (items.size() < kMostHeld) continue;
-    send(now, slot, Kind::Talk, 0, items, out);
+    if (items.size() < kMaxHeldPerDatagram) continue;
+    send(now, slot, Kind::Gossip, 0, items, out);
     items.clear();
   }
-  if (!items.empty()) send(now, slot, Kind::Talk, 0, items, out);
+  if (!items.empty()) send(now, slot, Kind::Gossip, 0, items, out);
 }
 
 // The block's rumours have been applied already; what this member knows better goes back.
@@ -102,12 +102,12 @@
   for (const Member& m : roster_.membersOf(block.block)) {
     if (m.standing > theirs[m.listed.number]) items.emplace_back(rumourOf(m));
   }
-  if (items.size() > 1 && maySpend()) send(now, slot, Kind::Talk, 0, items, out);
+  if (items.size() > 1 && maySpend()) send(now, slot, Kind::Gossip, 0, items, out);
 }
 
 // Sends the records of which this member holds a newer version, and asks for those of which it holds an
 // older.
-void Fleet::answerHeld(Time now, std::size_t slot, const Message& message, Out& out) {
+void Fleet::answerHeldVersions(Time now, std::size_t slot, const Message& message, Out& out) {
   std::vector<Item> records, asked;
   for (const Item& item : message.items) {
     const auto* const held = std::get_if<Held>(&item);
@@ -118,7 +118,7 @@
       records.emplace_back(Record{held->member, m.version, false, m.facts});
     if (m.version < held->version && *of != self_) asked.emplace_back(Held{held->member, m.version, true});
   }
-  if (!asked.empty() && maySpend()) send(now, slot, Kind::Talk, 0, asked, out);
+  if (!asked.empty() && maySpend()) send(now, slot, Kind::Gossip, 0, asked, out);
   sendRecords(now, slot, std::move(records), out);
 }
 
@@ -133,7 +133,7 @@
       fitting.push_back(std::move(records.back()));
       records.pop_back();
     }
-    send(now, slot, Kind::Talk, 0, fitting, out);
+    send(now, slot, Kind::Gossip, 0, fitting, out);
   }
 }
 
--- a/src/fleet/dissemination.cpp
+++ b/src/fleet/dissemination.cpp
@@ -14,8 +14,8 @@
 }  // namespace
 
 double Fleet::budgetCapacity() const {
-  return std::max(settings_.bytes_at_once,
-                  settings_.bytes_at_once_each * static_cast<double>(roster_.size()));
+  return std::max(settings_.burst_bytes,
+                  settings_.burst_bytes_per_member * static_cast<double>(roster_.size()));
 }
 
 // Slots of `count` live members by chance, without this one and the one in slot `excluded`.
@@ -49,7 +49,7 @@
 // nothing else, since the receiver takes its rumours for all that is known of that block.
 void Fleet::send(Time now, std::size_t to, Kind kind, std::uint32_t sequence, const std::vector<Item>& items,
                  Out& out) {
-  if (now < quiet_until_) return;
+  if (now < sending_suspended_until_) return;
   const Member& receiver = roster_.at(to);
   Writer writer(headerFor(receiver, kind, sequence), settings_.fleet);
   for (const Item& item : items) writer.add(item);
@@ -57,7 +57,7 @@
       std::any_of(items.begin(), items.end(), [](const Item& i) { return std::holds_alternative<Block>(i); });
   if (!whole_block && isLive(receiver.standing.state)) {
     gossip_queue_.fill(writer, roster_, to, budget_.has(kRepairReserve), random_);
-  } else if (!whole_block && receiver.standing.state > State::Unheard) {
+  } else if (!whole_block && receiver.standing.state > State::Unknown) {
     writer.add(rumourOf(receiver));
   }
   std::string bytes = writer.finish();
@@ -65,24 +65,24 @@
   out.datagrams.push_back({receiver.listed.number, std::move(bytes)});
 }
 
-bool Fleet::sendParcel(Time now, Number to, std::string bytes, Out& out) {
+bool Fleet::sendMessage(Time now, Number to, std::string bytes, Out& out) {
   const auto slot = roster_.find(to);
-  if (!slot || *slot == self_ || bytes.size() > kMostCarried) return false;
-  send(now, *slot, Kind::Talk, 0, {ApplicationPayload{std::move(bytes)}}, out);
+  if (!slot || *slot == self_ || bytes.size() > kMaxApplicationPayload) return false;
+  send(now, *slot, Kind::Gossip, 0, {ApplicationPayload{std::move(bytes)}}, out);
   return true;
 }
 
 // A round of gossip: datagrams to some members by chance, for news that no probe has carried yet.
 void Fleet::gossip(Time now, Out& out) {
-  gossip_at_ = now + settings_.talk;
+  next_gossip_at_ = now + settings_.gossip_interval;
   if (!gossip_queue_.needsRound() || !budget_.has(kRepairReserve)) return;
-  for (const std::size_t to : pick(settings_.talk_to, self_)) {
-    if (budget_.has(kRepairReserve)) send(now, to, Kind::Talk, 0, {}, out);
+  for (const std::size_t to : pick(settings_.gossip_fanout, self_)) {
+    if (budget_.has(kRepairReserve)) send(now, to, Kind::Gossip, 0, {}, out);
   }
   gossip_queue_.roundEnded(roster_);
 }
 
-void Fleet::tell(Time now, const Facts& facts, bool urgent) {
+void Fleet::setFacts(Time now, const Facts& facts, bool urgent) {
   std::string bytes = encode(facts);
   if (bytes == self().facts) {
     unpublished_.reset();
--- a/src/fleet/facts.cpp
+++ b/src/fleet/facts.cpp
@@ -10,10 +10,10 @@
 
 constexpr std::uint8_t kVersion = 1, kZone = 2, kRegion = 3, kTraffic = 4;  // tags
 
-constexpr double kStep = 1.1, kLeastTraffic = 0.1;
+constexpr double kTrafficRatio = 1.1, kMinTraffic = 0.1;
 
 void add(std::string& out, std::uint8_t tag, std::string_view bytes) {
-  if (bytes.empty() || out.size() + 2 + bytes.size() > kMostFacts) return;
+  if (bytes.empty() || out.size() + 2 + bytes.size() > kMaxFactsBytes) return;
   put(out, tag);
   put(out, static_cast<std::uint8_t>(bytes.size()));
   out += bytes;
@@ -33,25 +33,27 @@
 }
 
 std::uint16_t trafficStep(double per_second) {
-  if (!(per_second > kLeastTraffic)) return 0;
-  const double step = std::log(per_second / kLeastTraffic) / std::log(kStep);
+  if (!(per_second > kMinTraffic)) return 0;
+  const double step = std::log(per_second / kMinTraffic) / std::log(kTrafficRatio);
   return static_cast<std::uint16_t>(std::min(std::lround(step) + 1, 1000L));
 }
 
-double trafficOf(std::uint16_t step) { return step == 0 ? 0 : kLeastTraffic * std::pow(kStep, step - 1); }
+double trafficOf(std::uint16_t step) {
+  return step == 0 ? 0 : kMinTraffic * std::pow(kTrafficRatio, step - 1);
+}
 
 std::string encode(const Facts& facts) {
   std::string out;
   add(out, kVersion, number(facts.version));
-  add(out, kZone, std::string_view(facts.zone).substr(0, kMostName));
-  add(out, kRegion, std::string_view(facts.region).substr(0, kMostName));
+  add(out, kZone, std::string_view(facts.zone).substr(0, kMaxNameBytes));
+  add(out, kRegion, std::string_view(facts.region).substr(0, kMaxNameBytes));
   add(out, kTraffic, number(trafficStep(facts.traffic)));
   for (const Facts::Note& note : facts.notes) add(out, note.tag, note.bytes);
   return out;
 }
 
 std::optional<Facts> decodeFacts(std::string_view bytes) {
-  if (bytes.size() > kMostFacts) return std::nullopt;
+  if (bytes.size() > kMaxFactsBytes) return std::nullopt;
   Facts facts;
   Reader in(bytes);
   while (in.left() > 0) {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -8,21 +8,21 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr Time kPause = 600 * kMillisecond;  // later than due by more: this process stood still
-constexpr std::size_t kLeaveTo = 8;          // members that are told of a leave
+constexpr Time kPauseThreshold = 600 * kMillisecond;  // later than due by more: this process stood still
+constexpr std::size_t kLeaveFanout = 8;               // members that are told of a leave
 
 }  // namespace
 
 Fleet::Fleet(const Settings& settings, const std::vector<Listed>& members, Incarnation first,
              std::uint64_t seed)
     : settings_(settings), random_(seed), budget_(settings.bytes_per_second) {
-  list(0, members);
+  setMembers(0, members);
   roster_.merge(self_, Standing{first, State::Alive}, 0);
 }
 
-void Fleet::list(Time now, const std::vector<Listed>& members) {
+void Fleet::setMembers(Time now, const std::vector<Listed>& members) {
   Roster next = roster_;
-  next.list(members);
+  next.setMembers(members);
   const auto mine = next.find(settings_.self);
   if (!mine)
     throw std::invalid_argument("the list of members lacks this one, " + std::to_string(settings_.self));
@@ -36,7 +36,7 @@
   gossip_queue_.rebuild(roster_);
   probe_order_.reset();
   probe_.reset();
-  period_at_ = now;
+  next_probe_at_ = now;
   if (started_) schedule(now);
 }
 
@@ -50,13 +50,13 @@
   roster_.set(self_, Standing{remembered.incarnation, State::Alive}, now);
   Member& me = roster_.at(self_);
   me.version = {incarnation(), remembered.record};
-  recalled_ = true;
+  restored_ = true;
 }
 
 MembershipSnapshot Fleet::snapshot() const {
   MembershipSnapshot out{incarnation(), self().version.sequence, {}};
   for (const Member& m : roster_.all()) {
-    if (m.standing.state != State::Unheard)
+    if (m.standing.state != State::Unknown)
       out.members.push_back({m.listed.number, m.standing, m.version, m.facts});
   }
   return out;
@@ -68,10 +68,10 @@
   budget_.fill(budgetCapacity());
   // Random phases keep members that start together from acting in the same instant.
   const auto part = [&](Time t) { return static_cast<Time>(random_.unit() * static_cast<double>(t)); };
-  period_at_ = now + part(settings_.period);
-  gossip_at_ = now + part(settings_.talk);
-  compare_records_at_ = now + part(kCompareRecordsEvery);
-  unreachable_tried_at_ = now - kJoinEvery;
+  next_probe_at_ = now + part(settings_.probe_interval);
+  next_gossip_at_ = now + part(settings_.gossip_interval);
+  compare_records_at_ = now + part(kCompareRecordsInterval);
+  unreachable_pinged_at_ = now - kJoinInterval;
   roster_.at(self_).since = now;
   due_ = now;
   onTime(now, out);
@@ -81,7 +81,7 @@
 // this process stood still.
 void Fleet::advance(Time now) {
   const Time gap = now - std::max(clock_, due_ == kNever ? now : std::min(due_, now));
-  if (gap > kPause) onPause(now, gap);
+  if (gap > kPauseThreshold) onPause(now, gap);
   budget_.refill(now - clock_, budgetCapacity());
   clock_ = now;
 }
@@ -89,47 +89,47 @@
 // Probes that went unanswered meanwhile show nothing about others, and suspects could not be heard refuting.
 void Fleet::onPause(Time now, Time gap) {
   paused_at_ = now;
-  health_.worse(2);
+  health_.degrade(2);
   probe_.reset();
   relays_.clear();
-  period_at_ = now + settings_.period;
+  next_probe_at_ = now + settings_.probe_interval;
   for (std::size_t slot = 0; slot < roster_.size(); ++slot) {
-    if (roster_.at(slot).standing.state == State::Suspect) roster_.at(slot).suspected += gap;
+    if (roster_.at(slot).standing.state == State::Suspect) roster_.at(slot).suspected_at += gap;
   }
 }
 
 void Fleet::schedule(Time now) {
-  Time due = std::min({probeDueAt(), tryUnreachableAt(now), compare_records_at_});
+  Time due = std::min({probeDueAt(), pingUnreachableAt(now), compare_records_at_});
   if (unpublished_) due = std::min(due, published_at_ + recordInterval());
-  if (gossip_queue_.needsRound()) due = std::min(due, gossip_at_);
+  if (gossip_queue_.needsRound()) due = std::min(due, next_gossip_at_);
   for (const auto& [sequence, relay] : relays_) due = std::min(due, relay.nack_at);
   if (roster_.count(State::Suspect) > 0) {
     for (const Member& m : roster_.all()) {
-      if (m.standing.state == State::Suspect) due = std::min(due, m.suspected + suspicionOf(m));
+      if (m.standing.state == State::Suspect) due = std::min(due, m.suspected_at + suspicionOf(m));
     }
   }
-  due_ = leaving_ ? kNever : std::max({due, now, quiet_until_});
+  due_ = leaving_ ? kNever : std::max({due, now, sending_suspended_until_});
 }
 
 void Fleet::onTime(Time now, Out& out) {
   advance(now);
-  if (!leaving_ && now >= quiet_until_) {
+  if (!leaving_ && now >= sending_suspended_until_) {
     expireSuspects(now, out);
     onProbeTime(now, out);
     expireRelays(now, out);
-    if (now >= tryUnreachableAt(now)) tryUnreachable(now, out);
-    if (now >= gossip_at_) gossip(now, out);
+    if (now >= pingUnreachableAt(now)) pingUnreachable(now, out);
+    if (now >= next_gossip_at_) gossip(now, out);
     if (unpublished_ && now - published_at_ >= recordInterval()) publishRecord(now, false);
     if (now >= compare_records_at_) compareRecords(now, out);
   }
   schedule(now);
 }
 
-void Fleet::beQuiet(Time now, Time until) {
-  quiet_until_ = until;
+void Fleet::suspendSending(Time now, Time until) {
+  sending_suspended_until_ = until;
   probe_.reset();
   relays_.clear();
-  period_at_ = std::max(period_at_, until);
+  next_probe_at_ = std::max(next_probe_at_, until);
   schedule(now);
 }
 
@@ -161,7 +161,8 @@
 void Fleet::leave(Time now, Out& out) {
   if (std::exchange(leaving_, true)) return;
   updateStanding(now, self_, {incarnation(), State::Left}, 0, out);
-  for (const std::size_t to : pick(kLeaveTo, self_)) send(now, to, Kind::Talk, 0, {rumourOf(self())}, out);
+  for (const std::size_t to : pick(kLeaveFanout, self_))
+    send(now, to, Kind::Gossip, 0, {rumourOf(self())}, out);
   schedule(now);
 }
 
--- a/src/fleet/gossip_queue.cpp
+++ b/src/fleet/gossip_queue.cpp
@@ -8,15 +8,15 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr std::size_t kBacklog = 44;                           // standings: more than two datagrams hold
-constexpr int kSendsOfRecords = 3;                             // that are not urgent
-constexpr std::size_t kLeastStanding = 12, kLeastRecord = 19;  // bytes that an item takes at least
+constexpr std::size_t kBacklogThreshold = 44;                      // standings: more than two datagrams hold
+constexpr int kSendsPerRecord = 3;                                 // that are not urgent
+constexpr std::size_t kMinStandingSize = 12, kMinRecordSize = 19;  // bytes that an item takes at least
 
 // Standings or records.
 struct ItemKind {
   int Member::*sends_left = nullptr;
-  int cost = 1;                // of one send, in sends
-  std::size_t least_size = 0;  // bytes
+  int cost = 1;              // of one send, in sends
+  std::size_t min_size = 0;  // bytes
 };
 
 // Moves as many items into the datagram as fit, those to be sent most often first, equal ones by chance.
@@ -29,7 +29,7 @@
     return roster.at(a).*sends_left > roster.at(b).*sends_left;
   });
   for (const std::size_t slot : slots) {
-    if (writer.room() < kind.least_size) break;
+    if (writer.room() < kind.min_size) break;
     if (slot != to && writer.add(item_of(roster.at(slot)))) roster.at(slot).*sends_left -= kind.cost;
   }
   std::erase_if(slots, [&](std::size_t slot) { return roster.at(slot).*sends_left <= 0; });
@@ -46,35 +46,36 @@
   standings_.clear();
   records_.clear();
   for (std::size_t slot = 0; slot < roster.size(); ++slot) {
-    if (roster.at(slot).tell_standing > 0) standings_.push_back(slot);
-    if (roster.at(slot).tell_record > 0) records_.push_back(slot);
+    if (roster.at(slot).standing_sends_left > 0) standings_.push_back(slot);
+    if (roster.at(slot).record_sends_left > 0) records_.push_back(slot);
   }
 }
 
-int GossipQueue::sendsOfNews(const Roster& roster) {
+int GossipQueue::sendsPerUpdate(const Roster& roster) {
   return 4 * static_cast<int>(std::ceil(std::log10(static_cast<double>(roster.live() + 1))));
 }
 
 // Where much is new at once, each piece is sent less often: what some miss is found by digests, and costs
 // less that way.
-int GossipQueue::sendCost() const { return standings_.size() > kBacklog ? 3 : 1; }
+int GossipQueue::sendCost() const { return standings_.size() > kBacklogThreshold ? 3 : 1; }
 
 void GossipQueue::addStanding(Roster& roster, std::size_t slot) {
   Member& member = roster.at(slot);
-  if (member.tell_standing <= 0) standings_.push_back(slot);
-  member.tell_standing = sendsOfNews(roster);
+  if (member.standing_sends_left <= 0) standings_.push_back(slot);
+  member.standing_sends_left = sendsPerUpdate(roster);
 }
 
 void GossipQueue::addRecord(Roster& roster, std::size_t slot, bool urgent) {
   Member& member = roster.at(slot);
-  if (member.tell_record <= 0) records_.push_back(slot);
-  member.tell_record = urgent ? sendsOfNews(roster) : kSendsOfRecords;
+  if (member.record_sends_left <= 0) records_.push_back(slot);
+  member.record_sends_left = urgent ? sendsPerUpdate(roster) : kSendsPerRecord;
   member.urgent = urgent;
   urgent_ = urgent_ || urgent;
 }
 
-void GossipQueue::heardAgain(Member& member) const {
-  if (member.tell_standing > 1) member.tell_standing = std::max(1, member.tell_standing - sendCost());
+void GossipQueue::receivedAgain(Member& member) const {
+  if (member.standing_sends_left > 1)
+    member.standing_sends_left = std::max(1, member.standing_sends_left - sendCost());
 }
 
 void GossipQueue::roundEnded(const Roster& roster) {
@@ -86,10 +87,10 @@
                        load_balancer::Random& random) {
   const Member& receiver = roster.at(to);
   if (receiver.standing.state > State::Alive) writer.add(rumourOf(receiver));
-  addItems(writer, roster, to, standings_, {&Member::tell_standing, sendCost(), kLeastStanding}, random,
-           [](const Member& of) { return Item(rumourOf(of)); });
+  addItems(writer, roster, to, standings_, {&Member::standing_sends_left, sendCost(), kMinStandingSize},
+           random, [](const Member& of) { return Item(rumourOf(of)); });
   if (!with_records) return;
-  addItems(writer, roster, to, records_, {&Member::tell_record, 1, kLeastRecord}, random,
+  addItems(writer, roster, to, records_, {&Member::record_sends_left, 1, kMinRecordSize}, random,
            [](const Member& of) {
              return Item(Record{of.listed.number, of.version, of.urgent, of.facts});
            });
--- a/src/fleet/include/fleet/duplicate_number.h
+++ b/src/fleet/include/fleet/duplicate_number.h
@@ -21,14 +21,14 @@
   // This member has raised its incarnation above somebody's.
   void onRefuted(Time now) { refuted_at_ = now; }
   // Either sign was seen within the last 30 s.
-  bool detected(Time now) const { return now - std::max(foreign_at_, claimed_at_) < kDetectedFor; }
+  bool detected(Time now) const { return now - std::max(foreign_at_, claimed_at_) < kDetectionHold; }
 
  private:
-  static constexpr Time kDetectedFor = 30 * kSecond;
-  static constexpr Time kRefuteEvery = kSecond;
-  static constexpr int kRaisesOfALiveProcess = 3;
+  static constexpr Time kDetectionHold = 30 * kSecond;
+  static constexpr Time kRefuteInterval = kSecond;
+  static constexpr int kRaisesOfRunningProcess = 3;
 
-  std::uint16_t foreign_life_ = 0;
+  std::uint16_t foreign_nonce_ = 0;
   int foreign_raises_ = 0;  // by that life, one after the other
   Time refuted_at_ = kLongAgo, foreign_at_ = kLongAgo, claimed_at_ = kLongAgo;
 };
--- a/src/fleet/include/fleet/facts.h
+++ b/src/fleet/include/fleet/facts.h
@@ -1,4 +1,4 @@
-// What a member tells the others of itself beside being there. Its text on the wire is at most kMostFacts
+// What a member tells the others of itself beside being there. Its text on the wire is at most kMaxFactsBytes
 // bytes long. No I/O, no clock.
 #pragma once
 
@@ -11,8 +11,8 @@
 
 namespace client_proxy::fleet {
 
-constexpr std::size_t kMostFacts = 96;
-constexpr std::size_t kMostName = 24;  // of a zone or region; what is longer is cut
+constexpr std::size_t kMaxFactsBytes = 96;
+constexpr std::size_t kMaxNameBytes = 24;  // of a zone or region; what is longer is cut
 
 struct Facts {
   std::uint16_t version = 0;  // of the program
--- a/src/fleet/include/fleet/fleet.h
+++ b/src/fleet/include/fleet/fleet.h
@@ -31,21 +31,21 @@
 
 struct Settings {
   Number self = 0;
-  std::uint64_t fleet = 0;              // fleetSeed() of its name
-  Time period = 500 * kMillisecond;     // between two probes
-  Time timeout = 200 * kMillisecond;    // for a direct probe, before indirect ones are asked for
-  std::size_t helpers = 3;              // members that are asked for an indirect probe
-  Time suspicion = 700 * kMillisecond;  // the least, for each power of ten of members; 0: none
-  double suspicion_times = 4;           // the most, in multiples of the least
-  Time talk = 100 * kMillisecond;       // between two rounds of gossip
-  std::size_t talk_to = 3;              // members in a round
+  std::uint64_t fleet = 0;                    // fleetSeed() of its name
+  Time probe_interval = 500 * kMillisecond;   // between two probes
+  Time probe_timeout = 200 * kMillisecond;    // for a direct probe, before indirect ones are asked for
+  std::size_t helpers = 3;                    // members that are asked for an indirect probe
+  Time min_suspicion = 700 * kMillisecond;    // the least, for each power of ten of members; 0: none
+  double max_suspicion_factor = 4;            // the most, in multiples of the least
+  Time gossip_interval = 100 * kMillisecond;  // between two rounds of gossip
+  std::size_t gossip_fanout = 3;              // members in a round
   // A dead member is pinged so often by all others together; kNever: not at all.
-  Time try_dead = kSecond;
+  Time dead_ping_interval = kSecond;
   // What may be sent, but for probes and their answers, which are never held back. The burst lets a member
   // learn of all others when all start at once, so it grows with the list where that is long.
-  double bytes_per_second = 1900, bytes_at_once = 32'000, bytes_at_once_each = 48;
+  double bytes_per_second = 1900, burst_bytes = 32'000, burst_bytes_per_member = 48;
   std::uint8_t newest = kNewestVersion;
-  bool refutes = true;  // false only in tests that show what incarnations are for
+  bool refute_suspicion = true;  // false only in tests that show what incarnations are for
 };
 
 struct Datagram {
@@ -59,7 +59,7 @@
 };
 struct Out {
   std::vector<Datagram> datagrams;
-  std::vector<ApplicationMessage> parcels;  // that have arrived
+  std::vector<ApplicationMessage> messages;  // that have arrived
   std::vector<Change> changes;
 };
 
@@ -79,8 +79,8 @@
 // Datagrams that were dropped, by cause.
 struct Drops {
   std::uint64_t too_short = 0, too_long = 0, foreign = 0, version = 0, checksum = 0, malformed = 0;
-  std::uint64_t stranger = 0;  // from an address that is no member's; counted by the transport
-  std::uint64_t mistaken = 0;  // not for this member, or not from the one whose address it came from
+  std::uint64_t unknown_sender = 0;  // from an address that is no member's; counted by the transport
+  std::uint64_t misaddressed = 0;    // not for this member, or not from the one whose address it came from
   void count(Fault fault);
 };
 
@@ -103,15 +103,16 @@
   void leave(Time now, Out& out);
   // Replaces the list of members; `self` must be on it. Throws std::invalid_argument and changes nothing
   // then.
-  void list(Time now, const std::vector<Listed>& members);
+  void setMembers(Time now, const std::vector<Listed>& members);
   // Sets this member's own record. Records that are not urgent are sent at most once in 0.2 s for each live
   // member, so that those of all members together fit the room that datagrams have left; urgent ones spread
   // as fast as deaths.
-  void tell(Time now, const Facts& facts, bool urgent = false);
-  // At most kMostCarried bytes, in a datagram of its own. False: too long, or there is no such member.
-  bool sendParcel(Time now, Number to, std::string bytes, Out& out);
+  void setFacts(Time now, const Facts& facts, bool urgent = false);
+  // At most kMaxApplicationPayload bytes, in a datagram of its own. False: too long, or there is no such
+  // member.
+  bool sendMessage(Time now, Number to, std::string bytes, Out& out);
   // Sends nothing until then: another process may be about to take over this number.
-  void beQuiet(Time now, Time until);
+  void suspendSending(Time now, Time until);
   // A datagram that claims this member's number came from elsewhere.
   void onClaimed(Time now) { duplicate_.onClaimed(now); }
 
@@ -123,21 +124,21 @@
   const LocalHealth& health() const { return health_; }
   std::uint64_t refuted() const { return refuted_; }  // suspicions of this member
   // Another process holds this member's number.
-  bool twice(Time now) const;
+  bool duplicateDetected(Time now) const;
 
  private:
   struct Probe {
     std::size_t slot = 0;
     std::uint32_t sequence = 0;
-    Time timeout = 0;  // when helpers are asked
-    Time again = 0;    // when the target is pinged anew
-    Time end = 0;      // when the probe has failed
-    bool helpers_asked = false, answered = false;
+    Time timeout = 0;    // when helpers are asked
+    Time resend_at = 0;  // when the target is pinged anew
+    Time end = 0;        // when the probe has failed
+    bool indirect_sent = false, answered = false;
     std::size_t helpers = 0, nacks = 0;
   };
   struct Relay {  // an indirect probe on behalf of another member
-    Number asker = 0, subject = 0;
-    std::uint32_t asked_as = 0;  // the asker's sequence
+    Number requester = 0, subject = 0;
+    std::uint32_t request_sequence = 0;  // the requester's sequence
     Time nack_at = 0;
   };
 
@@ -152,14 +153,14 @@
   void probeNext(Time now, Out& out);
   void onProbeTime(Time now, Out& out);
   void onProbeFailed(Time now, Out& out);
-  void onPingFor(Time now, const Message& message, Out& out);
+  void onIndirectPing(Time now, const Message& message, Out& out);
   void onAck(Time now, std::uint32_t sequence, std::size_t slot, Out& out);
   void expireRelays(Time now, Out& out);
   void suspect(Time now, std::size_t slot, Number by, Out& out);
   Time suspicionOf(const Member& m) const;
   void expireSuspects(Time now, Out& out);
-  void tryUnreachable(Time now, Out& out);
-  Time tryUnreachableAt(Time now) const;
+  void pingUnreachable(Time now, Out& out);
+  Time pingUnreachableAt(Time now) const;
 
   // dissemination.cpp
   void send(Time now, std::size_t to, Kind kind, std::uint32_t sequence, const std::vector<Item>& items,
@@ -178,9 +179,9 @@
   void sendDigest(Time now, std::size_t slot, Digest::Of of, Out& out);
   void answerDigest(Time now, std::size_t slot, const Digest& digest, Out& out);
   void sendBlock(Time now, std::size_t slot, std::uint16_t block, Out& out);
-  void sendHeld(Time now, std::size_t slot, std::uint16_t block, Out& out);
+  void sendHeldVersions(Time now, std::size_t slot, std::uint16_t block, Out& out);
   void answerBlock(Time now, std::size_t slot, const Block& block, const Message& message, Out& out);
-  void answerHeld(Time now, std::size_t slot, const Message& message, Out& out);
+  void answerHeldVersions(Time now, std::size_t slot, const Message& message, Out& out);
   void sendRecords(Time now, std::size_t slot, std::vector<Item> records, Out& out);
 
   // receiving.cpp
@@ -192,8 +193,8 @@
   void refute(Time now, const Standing& standing, Out& out);
   void updateStanding(Time now, std::size_t slot, const Standing& standing, Number by, Out& out);
 
-  static constexpr Time kJoinEvery = 100 * kMillisecond;     // between tries until a first member answers
-  static constexpr Time kCompareRecordsEvery = 5 * kSecond;  // with one member by chance
+  static constexpr Time kJoinInterval = 100 * kMillisecond;     // between tries until a first member answers
+  static constexpr Time kCompareRecordsInterval = 5 * kSecond;  // with one member by chance
 
   Settings settings_;
   Roster roster_;
@@ -212,13 +213,13 @@
   std::map<std::uint32_t, Relay> relays_;  // by our own sequence
 
   bool started_ = false, leaving_ = false;
-  bool recalled_ = false;  // the view was taken over from the process before this one
+  bool restored_ = false;  // the view was taken over from the process before this one
   Time clock_ = 0;         // of the last call
   Time due_ = kNever, started_at_ = 0;
-  Time period_at_ = 0, gossip_at_ = 0;  // the next of each
+  Time next_probe_at_ = 0, next_gossip_at_ = 0;  // the next of each
   Time compare_records_at_ = 0, compare_standings_at_ = kLongAgo;
-  Time changed_at_ = 0, agreed_at_ = kLongAgo, paused_at_ = kLongAgo, quiet_until_ = kLongAgo;
-  Time unreachable_tried_at_ = 0;
+  Time changed_at_ = 0, agreed_at_ = kLongAgo, paused_at_ = kLongAgo, sending_suspended_until_ = kLongAgo;
+  Time unreachable_pinged_at_ = 0;
   double unreachable_jitter_ = 1;           // of the time until the next try
   std::optional<std::string> unpublished_;  // this member's own record, not sent yet
   Time published_at_ = kLongAgo;
--- a/src/fleet/include/fleet/gossip_queue.h
+++ b/src/fleet/include/fleet/gossip_queue.h
@@ -25,7 +25,7 @@
   // A record is new. Urgent ones go as often as standings; what the others miss is found by digests.
   void addRecord(Roster& roster, std::size_t slot, bool urgent);
   // Somebody else passes on the same standing: it needs to be sent less often from here.
-  void heardAgain(Member& member) const;
+  void receivedAgain(Member& member) const;
 
   // Something is to be sent in the next round of gossip, without waiting for another datagram to carry it.
   bool needsRound() const { return !standings_.empty() || urgent_; }
@@ -36,7 +36,7 @@
   void fill(Writer& writer, Roster& roster, std::size_t to, bool with_records, load_balancer::Random& random);
 
  private:
-  static int sendsOfNews(const Roster& roster);
+  static int sendsPerUpdate(const Roster& roster);
   int sendCost() const;
 
   std::vector<std::size_t> standings_, records_;  // slots, in no order
--- a/src/fleet/include/fleet/roster.h
+++ b/src/fleet/include/fleet/roster.h
@@ -21,31 +21,31 @@
 struct Member {
   Listed listed;
   Standing standing;
-  Time since = 0;           // of its state
-  Time heard = kLongAgo;    // the last datagram of its own that came here
-  Time live_at = kLongAgo;  // when it was last held for live
+  Time since = 0;                // of its state
+  Time last_contact = kLongAgo;  // the last datagram of its own that came here
+  Time last_live_at = kLongAgo;  // when it was last held for live
   RecordVersion version;
   std::string facts;        // as its owner wrote them
   std::uint8_t newest = 1;  // version of datagrams that it reads
 
   // While it is a suspect.
-  std::vector<Number> accusers;  // without repeats, the first kMostAccusers
-  Time suspected = 0;
+  std::vector<Number> accusers;  // without repeats, the first kMaxAccusers
+  Time suspected_at = 0;
 
   // How often each is still to be passed on.
-  int tell_standing = 0, tell_record = 0;
+  int standing_sends_left = 0, record_sends_left = 0;
   bool urgent = false;  // of the record
 };
-constexpr std::size_t kMostAccusers = 4;
+constexpr std::size_t kMaxAccusers = 4;
 
 // Members whose numbers share all but the last four bits are a block: what two views are compared by.
-constexpr Number kBlock = 16;
-constexpr std::uint16_t blockOf(Number n) { return n / kBlock; }
+constexpr Number kBlockSize = 16;
+constexpr std::uint16_t blockOf(Number n) { return n / kBlockSize; }
 
 class Roster {
  public:
   // Members of the same number keep what is known of them; those no longer listed are forgotten.
-  void list(const std::vector<Listed>& members);
+  void setMembers(const std::vector<Listed>& members);
 
   std::size_t size() const { return members_.size(); }
   Member& at(std::size_t slot) { return members_[slot]; }
@@ -67,8 +67,8 @@
   // Blocks from 0 to the last one that a listed member lies in.
   std::uint16_t blocks() const;
   std::span<const Member> membersOf(std::uint16_t block) const;
-  std::uint32_t standingsOf(std::uint16_t block) const;
-  std::uint32_t recordsOf(std::uint16_t block) const;
+  std::uint32_t standingsHash(std::uint16_t block) const;
+  std::uint32_t recordsHash(std::uint16_t block) const;
 
  private:
   std::vector<Member> members_;
--- a/src/fleet/include/fleet/suspicion.h
+++ b/src/fleet/include/fleet/suspicion.h
@@ -23,11 +23,11 @@
 // Who was late itself, or was accused and lives, waits longer before it accuses others.
 class LocalHealth {
  public:
-  static constexpr int kWorst = 4;
-  void better() { score_ = std::max(0, score_ - 1); }
-  void worse(int by = 1) { score_ = std::min(kWorst, score_ + by); }
+  static constexpr int kMaxScore = 4;
+  void improve() { score_ = std::max(0, score_ - 1); }
+  void degrade(int by = 1) { score_ = std::min(kMaxScore, score_ + by); }
   int score() const { return score_; }
-  Time stretched(Time time) const { return time * (1 + score_); }
+  Time scaled(Time time) const { return time * (1 + score_); }
 
  private:
   int score_ = 0;
--- a/src/fleet/include/fleet/types.h
+++ b/src/fleet/include/fleet/types.h
@@ -22,21 +22,21 @@
 // that hold one number tell their own words from the other's. 0: never heard of.
 using Incarnation = std::uint64_t;
 
-constexpr unsigned kLifeBits = 16;
+constexpr unsigned kNonceBits = 16;
 // No process has a higher one: the three bits above it hold the state in a rumour.
-constexpr Incarnation kMostIncarnation = (Incarnation{1} << 61) - 1;
-constexpr Incarnation incarnationAt(std::int64_t unix_milliseconds, std::uint16_t life) {
-  return (static_cast<Incarnation>(unix_milliseconds) << kLifeBits) | life;
+constexpr Incarnation kMaxIncarnation = (Incarnation{1} << 61) - 1;
+constexpr Incarnation incarnationAt(std::int64_t unix_milliseconds, std::uint16_t nonce) {
+  return (static_cast<Incarnation>(unix_milliseconds) << kNonceBits) | nonce;
 }
-constexpr std::uint16_t lifeOf(Incarnation i) { return static_cast<std::uint16_t>(i); }
+constexpr std::uint16_t nonceOf(Incarnation i) { return static_cast<std::uint16_t>(i); }
 // The least one of this life that is above `heard`.
-constexpr Incarnation above(Incarnation heard, std::uint16_t life) {
-  return ((heard >> kLifeBits) + 1) << kLifeBits | life;
+constexpr Incarnation nextIncarnation(Incarnation known, std::uint16_t nonce) {
+  return ((known >> kNonceBits) + 1) << kNonceBits | nonce;
 }
 
 // At one incarnation, what is further down wins: only the member itself leads back, by a higher one.
 enum class State : std::uint8_t {
-  Unheard,  // listed, and nobody has said a word of it yet
+  Unknown,  // listed, and nobody has said a word of it yet
   Alive,
   Suspect,  // somebody could not reach it; it has some time to say otherwise
   Dead,
@@ -45,7 +45,7 @@
 constexpr bool isLive(State s) { return s == State::Alive || s == State::Suspect; }
 constexpr std::string_view nameOf(State s) {
   switch (s) {
-    case State::Unheard:
+    case State::Unknown:
       return "unheard";
     case State::Alive:
       return "alive";
@@ -63,7 +63,7 @@
 // how often does not matter.
 struct Standing {
   Incarnation incarnation = 0;
-  State state = State::Unheard;
+  State state = State::Unknown;
   friend constexpr auto operator<=>(const Standing&, const Standing&) = default;
 };
 
--- a/src/fleet/include/fleet/wire.h
+++ b/src/fleet/include/fleet/wire.h
@@ -22,16 +22,16 @@
 constexpr std::uint8_t kOldestVersion = 1, kNewestVersion = 1;
 
 enum class Kind : std::uint8_t {
-  Ping = 1,  // are you there?
-  Ack,       // yes; to a ping's sequence
-  PingFor,   // ask the subject for me
-  AckFor,    // the subject answers
-  Nack,      // it does not answer me either
-  Talk,      // news and nothing else
+  Ping = 1,      // are you there?
+  Ack,           // yes; to a ping's sequence
+  IndirectPing,  // ask the subject for me
+  IndirectAck,   // the subject answers
+  Nack,          // it does not answer me either
+  Gossip,        // news and nothing else
 };
 
 struct Header {
-  Kind kind = Kind::Talk;
+  Kind kind = Kind::Gossip;
   Number from = 0, to = 0;
   Incarnation incarnation = 0;
   std::uint32_t sequence = 0, view = 0;
@@ -39,7 +39,7 @@
 };
 
 // Items.
-struct Subject {  // of PingFor, AckFor, Nack
+struct Subject {  // of IndirectPing, IndirectAck, Nack
   Number member = 0;
 };
 struct Rumour {
@@ -72,7 +72,7 @@
   std::string bytes{};
 };
 using Item = std::variant<Subject, Rumour, Record, Digest, Block, Held, ApplicationPayload>;
-constexpr std::size_t kMostCarried = kMostDatagram - kHeader - 2;
+constexpr std::size_t kMaxApplicationPayload = kMostDatagram - kHeader - 2;
 
 struct Message {
   Header header;
@@ -95,7 +95,7 @@
  private:
   std::string bytes_;
   std::uint64_t fleet_;
-  std::size_t run_ = 0;  // where the item begins that further rumours join; 0: none
+  std::size_t rumours_begin_ = 0;  // where the item begins that further rumours join; 0: none
 };
 
 struct Decoded {
--- a/src/fleet/receiving.cpp
+++ b/src/fleet/receiving.cpp
@@ -10,7 +10,7 @@
 bool addAccuser(Member& suspect, Number by) {
   const bool known =
       std::find(suspect.accusers.begin(), suspect.accusers.end(), by) != suspect.accusers.end();
-  if (known || suspect.accusers.size() >= kMostAccusers) return false;
+  if (known || suspect.accusers.size() >= kMaxAccusers) return false;
   suspect.accusers.push_back(by);
   return true;
 }
@@ -26,22 +26,22 @@
   }
   const Header& header = decoded.message.header;
   const auto slot = roster_.find(from);
-  if (header.from == settings_.self && lifeOf(header.incarnation) != lifeOf(incarnation()))
+  if (header.from == settings_.self && nonceOf(header.incarnation) != nonceOf(incarnation()))
     duplicate_.onClaimed(now);
   if (header.from != from || header.to != settings_.self || !slot || *slot == self_) {
-    ++drops_.mistaken;
+    ++drops_.misaddressed;
     return;
   }
   onContact(now, *slot, header, out);
   apply(now, *slot, decoded.message, out);
-  if (now >= quiet_until_) reply(now, *slot, decoded.message, out);
+  if (now >= sending_suspended_until_) reply(now, *slot, decoded.message, out);
   schedule(now);
 }
 
 // Any datagram of a member shows that it is there, whatever it says.
 void Fleet::onContact(Time now, std::size_t slot, const Header& header, Out& out) {
   Member& m = roster_.at(slot);
-  m.heard = now;
+  m.last_contact = now;
   m.newest = std::max(kOldestVersion, header.newest);
   if (probe_ && probe_->slot == slot) probe_->answered = true;
   updateStanding(now, slot, {header.incarnation, State::Alive}, 0, out);
@@ -59,41 +59,41 @@
     case Kind::Ack:
       onAck(now, header.sequence, slot, out);
       break;
-    case Kind::PingFor:
-      onPingFor(now, message, out);
+    case Kind::IndirectPing:
+      onIndirectPing(now, message, out);
       break;
-    case Kind::AckFor:
+    case Kind::IndirectAck:
       if (!probe_ || probe_->sequence != header.sequence) break;
       probe_->answered = true;
-      health_.better();
+      health_.improve();
       break;
     case Kind::Nack:
       if (probe_ && probe_->sequence == header.sequence) ++probe_->nacks;
       break;
-    case Kind::Talk:
+    case Kind::Gossip:
       break;
   }
-  if (must_know && header.kind != Kind::Ping && maySpend()) send(now, slot, Kind::Talk, 0, {}, out);
+  if (must_know && header.kind != Kind::Ping && maySpend()) send(now, slot, Kind::Gossip, 0, {}, out);
   compareStandings(now, slot, header.view, out);
 }
 
 void Fleet::apply(Time now, std::size_t slot, const Message& message, Out& out) {
   bool held = false;
   for (const Item& item : message.items) {
-    if (const auto* const carried = std::get_if<ApplicationPayload>(&item))
-      out.parcels.push_back({roster_.at(slot).listed.number, carried->bytes});
+    if (const auto* const payload = std::get_if<ApplicationPayload>(&item))
+      out.messages.push_back({roster_.at(slot).listed.number, payload->bytes});
     if (const auto* const rumour = std::get_if<Rumour>(&item)) applyRumour(now, *rumour, out);
     if (const auto* const record = std::get_if<Record>(&item)) applyRecord(now, *record, out);
     if (const auto* const digest = std::get_if<Digest>(&item)) answerDigest(now, slot, *digest, out);
     if (const auto* const block = std::get_if<Block>(&item)) answerBlock(now, slot, *block, message, out);
     held = held || std::holds_alternative<Held>(item);
   }
-  if (held) answerHeld(now, slot, message, out);
+  if (held) answerHeldVersions(now, slot, message, out);
 }
 
 void Fleet::applyRecord(Time now, const Record& record, Out& out) {
   const auto slot = roster_.find(record.member);
-  if (!slot || record.facts.size() > kMostFacts) return;
+  if (!slot || record.facts.size() > kMaxFactsBytes) return;
   if (*slot != self_) {
     if (roster_.merge(*slot, record.version, record.facts))
       gossip_queue_.addRecord(roster_, *slot, record.urgent);
@@ -111,23 +111,23 @@
   if (!slot) return;
   if (*slot == self_) return refute(now, rumour.standing, out);
   Member& m = roster_.at(*slot);
-  if (rumour.standing == m.standing) gossip_queue_.heardAgain(m);
+  if (rumour.standing == m.standing) gossip_queue_.receivedAgain(m);
   updateStanding(now, *slot, rumour.standing, rumour.by, out);
 }
 
 // A standing of this member that somebody has told. Only the member itself may say that it lives, which it
 // does at a higher incarnation than any that others have heard.
 void Fleet::refute(Time now, const Standing& standing, Out& out) {
-  if (leaving_ || standing <= self().standing || !settings_.refutes) return;
+  if (leaving_ || standing <= self().standing || !settings_.refute_suspicion) return;
   const Incarnation own = incarnation();
-  if (lifeOf(standing.incarnation) != lifeOf(own)) {
+  if (nonceOf(standing.incarnation) != nonceOf(own)) {
     if (!duplicate_.onForeignIncarnation(now, standing.incarnation)) return;
   } else {
     ++refuted_;
-    health_.worse();
+    health_.degrade();
   }
   duplicate_.onRefuted(now);
-  const Incarnation next = above(std::max(standing.incarnation, own), lifeOf(own));
+  const Incarnation next = nextIncarnation(std::max(standing.incarnation, own), nonceOf(own));
   updateStanding(now, self_, {next, State::Alive}, 0, out);
 }
 
@@ -136,7 +136,7 @@
   const State was = m.standing.state;
   const bool changed = roster_.merge(slot, standing, now);
   const bool accused = m.standing == standing && standing.state == State::Suspect && addAccuser(m, by);
-  if (changed && settings_.suspicion == 0 && standing.state == State::Suspect)
+  if (changed && settings_.min_suspicion == 0 && standing.state == State::Suspect)
     return updateStanding(now, slot, {standing.incarnation, State::Dead}, by, out);
   if (changed && was != standing.state) {
     out.changes.push_back({m.listed.number, was, standing.state, by});
--- a/src/fleet/roster.cpp
+++ b/src/fleet/roster.cpp
@@ -8,11 +8,11 @@
 namespace client_proxy::fleet {
 namespace {
 
-std::uint32_t folded(std::uint64_t hash) { return static_cast<std::uint32_t>(hash ^ (hash >> 32)); }
+std::uint32_t foldTo32Bits(std::uint64_t hash) { return static_cast<std::uint32_t>(hash ^ (hash >> 32)); }
 
 }  // namespace
 
-void Roster::list(const std::vector<Listed>& members) {
+void Roster::setMembers(const std::vector<Listed>& members) {
   std::vector<Listed> sorted = members;
   std::sort(sorted.begin(), sorted.end(),
             [](const Listed& a, const Listed& b) { return a.number < b.number; });
@@ -52,11 +52,11 @@
   if (standing.state != m.standing.state) {
     --counts_[static_cast<std::size_t>(m.standing.state)];
     ++counts_[static_cast<std::size_t>(standing.state)];
-    if (isLive(m.standing.state) && !isLive(standing.state)) m.live_at = now;
+    if (isLive(m.standing.state) && !isLive(standing.state)) m.last_live_at = now;
     m.since = now;
   }
   m.accusers.clear();
-  m.suspected = now;
+  m.suspected_at = now;
   m.standing = standing;
 }
 
@@ -77,20 +77,20 @@
     return std::lower_bound(members_.begin(), members_.end(), number,
                             [](const Member& m, std::uint32_t n) { return m.listed.number < n; });
   };
-  const std::uint32_t first = std::uint32_t{block} * kBlock;
-  return {from(first), from(first + kBlock)};
+  const std::uint32_t first = std::uint32_t{block} * kBlockSize;
+  return {from(first), from(first + kBlockSize)};
 }
 
-std::uint32_t Roster::standingsOf(std::uint16_t block) const {
+std::uint32_t Roster::standingsHash(std::uint16_t block) const {
   std::uint64_t hash = 0;
   for (const Member& m : membersOf(block)) hash ^= hashOf(m.listed.number, m.standing);
-  return folded(hash);
+  return foldTo32Bits(hash);
 }
 
-std::uint32_t Roster::recordsOf(std::uint16_t block) const {
+std::uint32_t Roster::recordsHash(std::uint16_t block) const {
   std::uint64_t hash = 0;
   for (const Member& m : membersOf(block)) hash ^= hashOf(m.listed.number, m.version);
-  return folded(hash);
+  return foldTo32Bits(hash);
 }
 
 }  // namespace client_proxy::fleet
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -6,28 +6,28 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr Time kSureAfter = 2 * kSecond;     // since the start or a pause
-constexpr Time kAgreedWithin = 3 * kSecond;  // another member held the same view
-constexpr Time kRemembered = 60 * kSecond;   // a dead member counts as one that was live of late
-constexpr int kUnwell = 3;                   // LocalHealth::score() from which on
+constexpr Time kSettleTime = 2 * kSecond;       // since the start or a pause
+constexpr Time kAgreementWindow = 3 * kSecond;  // another member held the same view
+constexpr Time kRecentlyLive = 60 * kSecond;    // a dead member counts as one that was live of late
+constexpr int kDegradedScore = 3;               // LocalHealth::score() from which on
 
 }  // namespace
 
-bool Fleet::twice(Time now) const { return duplicate_.detected(now); }
+bool Fleet::duplicateDetected(Time now) const { return duplicate_.detected(now); }
 
 Doubt Fleet::doubt(Time now) const {
   if (roster_.size() == 1) return Doubt::None;
-  if (now - started_at_ < kSureAfter && !recalled_) return Doubt::Starting;
+  if (now - started_at_ < kSettleTime && !restored_) return Doubt::Starting;
   if (roster_.live() <= 1) return Doubt::Alone;
-  if (twice(now)) return Doubt::Twice;
-  if (now - paused_at_ < kSureAfter) return Doubt::Paused;
-  std::size_t lately = roster_.live();
+  if (duplicateDetected(now)) return Doubt::DuplicateNumber;
+  if (now - paused_at_ < kSettleTime) return Doubt::Paused;
+  std::size_t recently_live = roster_.live();
   for (const Member& m : roster_.all()) {
-    if (m.standing.state == State::Dead && now - m.live_at < kRemembered) ++lately;
+    if (m.standing.state == State::Dead && now - m.last_live_at < kRecentlyLive) ++recently_live;
   }
-  if (roster_.live() * 2 <= lately) return Doubt::Minority;
-  if (health_.score() >= kUnwell) return Doubt::Unwell;
-  return now - agreed_at_ < kAgreedWithin ? Doubt::None : Doubt::Differs;
+  if (roster_.live() * 2 <= recently_live) return Doubt::Minority;
+  if (health_.score() >= kDegradedScore) return Doubt::Degraded;
+  return now - agreed_at_ < kAgreementWindow ? Doubt::None : Doubt::ViewsDiffer;
 }
 
 View Fleet::view(Time now) const {
@@ -37,7 +37,7 @@
   v.suspects = roster_.count(State::Suspect);
   v.dead = roster_.count(State::Dead);
   v.left = roster_.count(State::Left);
-  v.unheard = roster_.count(State::Unheard);
+  v.unknown = roster_.count(State::Unknown);
   v.unchanged = now - changed_at_;
   v.hash = roster_.hash();
   v.doubt = doubt(now);
@@ -47,7 +47,7 @@
     seen.state = m.standing.state;
     seen.incarnation = m.standing.incarnation;
     seen.since = m.since;
-    seen.heard = m.heard;
+    seen.last_contact = m.last_contact;
     seen.accusers = m.accusers;
     seen.facts = decodeFacts(m.facts).value_or(Facts{});
     seen.zone = m.listed.zone.empty() ? seen.facts.zone : m.listed.zone;
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -183,9 +183,9 @@
 
 bool Writer::add(const Item& item) {
   const std::size_t before = bytes_.size();
-  const bool goes_on = run_ != 0 && std::holds_alternative<Rumour>(item);
-  const std::size_t begin = goes_on ? run_ : before;
-  if (!goes_on) bytes_.append(2, '\0');
+  const bool joins_rumours = rumours_begin_ != 0 && std::holds_alternative<Rumour>(item);
+  const std::size_t begin = joins_rumours ? rumours_begin_ : before;
+  if (!joins_rumours) bytes_.append(2, '\0');
   const std::uint8_t tag = std::visit(Encoder{bytes_}, item);
   if (bytes_.size() > kMostDatagram) {
     bytes_.resize(before);
@@ -193,7 +193,7 @@
   }
   bytes_[begin] = static_cast<char>(tag);
   bytes_[begin + 1] = static_cast<char>(static_cast<std::uint8_t>(bytes_.size() - begin - 2));
-  run_ = std::holds_alternative<Rumour>(item) ? begin : 0;
+  rumours_begin_ = std::holds_alternative<Rumour>(item) ? begin : 0;
   return true;
 }
 
@@ -219,13 +219,13 @@
   if (in.get<std::uint32_t>() != checksumOf(datagram, fleet)) return {Fault::Checksum};
   const auto kind = in.get<std::uint8_t>();
   in.get<std::uint8_t>();
-  if (kind < static_cast<std::uint8_t>(Kind::Ping) || kind > static_cast<std::uint8_t>(Kind::Talk))
+  if (kind < static_cast<std::uint8_t>(Kind::Ping) || kind > static_cast<std::uint8_t>(Kind::Gossip))
     return {Fault::Malformed};
   h.kind = static_cast<Kind>(kind);
   h.from = in.get<Number>();
   h.to = in.get<Number>();
   h.incarnation = in.get<Incarnation>();
-  if (h.incarnation > kMostIncarnation) return {Fault::Malformed};
+  if (h.incarnation > kMaxIncarnation) return {Fault::Malformed};
   h.sequence = in.get<std::uint32_t>();
   h.view = in.get<std::uint32_t>();
   while (in.left() > 0) {
@@ -240,7 +240,7 @@
 
 std::uint64_t hashOf(Number member, const Standing& s) {
   // A suspect counts as alive: accusations come and go faster than views are compared.
-  if (s.state == State::Unheard) return 0;
+  if (s.state == State::Unknown) return 0;
   const State state = s.state == State::Suspect ? State::Alive : s.state;
   return hashOfAll(member, s.incarnation, static_cast<std::uint8_t>(state));
 }
--- a/src/fleet_transport/include/fleet_transport/membership_snapshot.h
+++ b/src/fleet_transport/include/fleet_transport/membership_snapshot.h
@@ -8,7 +8,7 @@
 
 namespace client_proxy::fleet_transport {
 
-std::string toText(const fleet::MembershipSnapshot& remembered);
+std::string toText(const fleet::MembershipSnapshot& snapshot);
 // Throws std::runtime_error with what is wrong; nothing of a text that is not whole is used.
 fleet::MembershipSnapshot snapshotFromText(std::string_view text);
 
--- a/src/fleet_transport/include/fleet_transport/udp_transport.h
+++ b/src/fleet_transport/include/fleet_transport/udp_transport.h
@@ -42,28 +42,28 @@
   void send(Number to, std::string bytes) override;
   Traffic traffic() const override;
   void onApplicationMessage(std::function<void(Number, std::string_view)> take) override {
-    take_ = std::move(take);
+    on_message_ = std::move(take);
   }
   std::vector<Member> members() const override;
-  std::vector<std::string> lostZones() const override { return zones_.lost(); }
+  std::vector<std::string> lostZones() const override { return zone_watch_.lostZones(); }
   std::string figures() const override;
-  std::string zones() const override { return zones_.page(clock_.now()); }
+  std::string zones() const override { return zone_watch_.page(clock_.now()); }
   fleet::View view() const { return fleet_->view(clock_.now()); }
 
  private:
-  using Steps = fleet::Out;
+  using Output = fleet::Out;
   static std::vector<fleet::Listed> listed(const std::vector<FleetPeer>& members);
-  void know(const std::vector<FleetPeer>& members);
+  void setAddresses(const std::vector<FleetPeer>& members);
   void open();
-  void openLater(const std::string& why);
-  void listen();
-  void readWaiting();
-  void take(std::size_t size);
-  void carryOut(const Steps& out);
-  void arm();
-  void tellFacts();
-  void tell(bool urgent);
-  void lookAtZones();
+  void retryOpen(const std::string& why);
+  void awaitDatagrams();
+  void readPending();
+  void onDatagram(std::size_t size);
+  void apply(const Output& out);
+  void armTimer();
+  void refreshFacts();
+  void publishFacts(bool urgent);
+  void evaluateZones();
 
   boost::asio::io_context& io_;
   const Clock& clock_;
@@ -75,20 +75,21 @@
   std::map<fleet::Number, Endpoint> addresses_;
 
   boost::asio::ip::udp::socket socket_;
-  boost::asio::steady_timer due_, facts_, reopen_, zones_due_;
+  boost::asio::steady_timer protocol_timer_, facts_timer_, reopen_timer_, zones_timer_;
   Time armed_for_ = kNever;
-  Endpoint from_;
+  Endpoint sender_;
   std::array<char, fleet::kMostDatagram + 1>
-      bytes_{};  // one more: what is longer is told from what just fits
-  bool started_ = false, silent_ = false, twice_told_ = false, waiting_told_ = false;
+      buffer_{};  // one more: what is longer is told from what just fits
+  bool started_ = false, silent_ = false, duplicate_logged_ = false, retry_logged_ = false;
 
-  std::uint64_t in_ = 0, out_ = 0, bytes_in_ = 0, bytes_out_ = 0, strangers_ = 0, unsent_ = 0;
-  std::uint64_t parcels_in_ = 0, parcels_out_ = 0, parcel_bytes_in_ = 0, parcel_bytes_out_ = 0;
-  std::uint64_t requests_before_ = 0;
-  Time facts_at_ = 0;
+  std::uint64_t datagrams_in_ = 0, datagrams_out_ = 0, bytes_in_ = 0, bytes_out_ = 0, unknown_senders_ = 0,
+                datagrams_unsent_ = 0;
+  std::uint64_t messages_in_ = 0, messages_out_ = 0, message_bytes_in_ = 0, message_bytes_out_ = 0;
+  std::uint64_t last_admitted_ = 0;
+  Time traffic_measured_at_ = 0;
   double traffic_ = 0;
-  ZoneWatch zones_;
-  std::function<void(Number, std::string_view)> take_;
+  ZoneWatch zone_watch_;
+  std::function<void(Number, std::string_view)> on_message_;
 };
 
 }  // namespace client_proxy::fleet_transport
--- a/src/fleet_transport/include/fleet_transport/zone_watch.h
+++ b/src/fleet_transport/include/fleet_transport/zone_watch.h
@@ -27,26 +27,26 @@
   };
   // Looks at what all have seen; gives orders where a verdict changes them. A note: it is another than
   // before. `sure`: the view of the fleet may be relied on.
-  std::optional<Note> look(Time now, const fleet::Roster& roster, bool sure);
+  std::optional<Note> update(Time now, const fleet::Roster& roster, bool sure);
   const std::string& note() const { return note_; }
-  std::string page(Time now) const;       // JSON: docs/zones.md
-  std::vector<std::string> lost() const;  // by name
+  std::string page(Time now) const;            // JSON: docs/zones.md
+  std::vector<std::string> lostZones() const;  // by name
 
  private:
-  struct Known {  // what a member told last
+  struct MemberReport {  // what a member told last
     fleet::RecordVersion version;
     bool live = false;
     zone_health::ObserverReport report;
   };
   std::size_t indexOf(const std::string& zone) const;
-  void see(Time now);
-  bool read(const fleet::Roster& roster);
-  bool calm() const;
+  void observeZones(Time now);
+  bool readReports(const fleet::Roster& roster);
+  bool quiescent() const;
   std::vector<zone_health::ObserverReport> reports() const;
-  zone_health::ZoneReport reported() const;
-  bool wanted(const zone_health::ZoneReport& before, const zone_health::ZoneReport& after,
-              const std::vector<zone_health::ObserverReport>& all) const;
-  void order(Time now, const std::vector<zone_health::ObserverReport>& all, bool sure);
+  zone_health::ZoneReport ownReport() const;
+  bool isUrgent(const zone_health::ZoneReport& before, const zone_health::ZoneReport& after,
+                const std::vector<zone_health::ObserverReport>& all) const;
+  void applyDirectives(Time now, const std::vector<zone_health::ObserverReport>& all, bool sure);
 
   LocalNode& local_;
   Log& log_;
@@ -54,11 +54,11 @@
   const std::string zone_;
   std::vector<std::string> names_;
   std::optional<zone_health::ZoneHealthQuorum> zone_health_;
-  std::vector<Known> known_;  // by slot
-  std::vector<load_balancer::ZoneDirective> orders_;
-  std::vector<zone_health::ZoneState> shown_;
+  std::vector<MemberReport> member_reports_;  // by slot
+  std::vector<load_balancer::ZoneDirective> directives_;
+  std::vector<zone_health::ZoneState> logged_states_;
   std::string note_;
-  zone_health::ZoneReport told_;
+  zone_health::ZoneReport last_report_;
 };
 
 }  // namespace client_proxy::fleet_transport
--- a/src/fleet_transport/udp_transport.cpp
+++ b/src/fleet_transport/udp_transport.cpp
@@ -19,15 +19,15 @@
 using fleet::Number;
 using fleet::State;
 
-constexpr std::uint16_t kProgram = 1;  // grows with what a record's readers must tell apart
-constexpr Time kFactsEvery = 2 * kSecond;
-constexpr double kTrafficLasts = 10;  // seconds over which it is averaged
+constexpr std::uint16_t kProgramVersion = 1;  // grows with what a record's readers must tell apart
+constexpr Time kFactsInterval = 2 * kSecond;
+constexpr double kTrafficWindow = 10;  // seconds over which it is averaged
 // A new process that asked for the view has taken over by then or never will; handover::Link::Limits gives it
 // less.
-constexpr Time kStill = 3 * kSecond;
-constexpr std::chrono::milliseconds kReopen{200};
-constexpr std::chrono::milliseconds kZonesEvery{100};
-constexpr std::size_t kAtOnce = 64;  // datagrams that are read before others have their turn
+constexpr Time kHandoverPause = 3 * kSecond;
+constexpr std::chrono::milliseconds kReopenInterval{200};
+constexpr std::chrono::milliseconds kZonesInterval{100};
+constexpr std::size_t kMaxReadsPerTurn = 64;  // datagrams that are read before others have their turn
 
 fleet::Incarnation incarnationOf(const Clock& clock) {
   std::random_device random;
@@ -47,7 +47,7 @@
   return static_cast<double>(milliseconds) / 1000;
 }
 
-std::string toPrometheusText(const UdpTransport::Endpoint& at) {
+std::string addressText(const UdpTransport::Endpoint& at) {
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
@@ -61,18 +61,18 @@
       settings_(std::move(settings)),
       local_(local),
       socket_(io),
-      due_(io),
-      facts_(io),
-      reopen_(io),
-      zones_due_(io),
-      zones_(local, log, settings_.number, settings_.zone) {
+      protocol_timer_(io),
+      facts_timer_(io),
+      reopen_timer_(io),
+      zones_timer_(io),
+      zone_watch_(local, log, settings_.number, settings_.zone) {
   try {
     std::random_device random;
     fleet_.emplace(settingsOf(settings_), listed(settings_.members), incarnationOf(clock), random());
   } catch (const std::invalid_argument& e) {
     throw std::runtime_error(std::string("fleet: ") + e.what());
   }
-  know(settings_.members);
+  setAddresses(settings_.members);
 }
 
 UdpTransport::~UdpTransport() = default;
@@ -84,7 +84,7 @@
   return out;
 }
 
-void UdpTransport::know(const std::vector<FleetPeer>& members) {
+void UdpTransport::setAddresses(const std::vector<FleetPeer>& members) {
   numbers_.clear();
   addresses_.clear();
   for (const FleetPeer& p : members) {
@@ -95,12 +95,12 @@
 
 void UdpTransport::setMembers(const std::vector<FleetPeer>& members) {
   try {
-    fleet_->list(clock_.now(), listed(members));
+    fleet_->setMembers(clock_.now(), listed(members));
   } catch (const std::invalid_argument& e) {
     throw std::runtime_error(e.what());
   }
-  know(members);
-  arm();
+  setAddresses(members);
+  armTimer();
 }
 
 // ---- its life ----
@@ -119,17 +119,17 @@
     open();
   } catch (const boost::system::system_error& e) {
     const std::string why =
-        "fleet: can't listen at " + toPrometheusText(settings_.listen) + ": " + e.code().message();
+        "fleet: can't listen at " + addressText(settings_.listen) + ": " + e.code().message();
     if (remembered.empty()) throw std::runtime_error(why);
-    openLater(why);  // the process before this one is about to let it go
+    retryOpen(why);  // the process before this one is about to let it go
   }
-  facts_at_ = clock_.now();
-  requests_before_ = local_.admitted();
-  tellFacts();
-  Steps out;
+  traffic_measured_at_ = clock_.now();
+  last_admitted_ = local_.admitted();
+  refreshFacts();
+  Output out;
   fleet_->start(clock_.now(), out);
-  carryOut(out);
-  lookAtZones();
+  apply(out);
+  evaluateZones();
 }
 
 void UdpTransport::open() {
@@ -138,32 +138,32 @@
   socket.bind(settings_.listen);
   socket.non_blocking(true);
   socket_ = std::move(socket);
-  waiting_told_ = false;
-  listen();
+  retry_logged_ = false;
+  awaitDatagrams();
 }
 
-void UdpTransport::openLater(const std::string& why) {
-  if (!std::exchange(waiting_told_, true)) log_.line(why + "; trying again", LogLevel::Warning);
-  reopen_.expires_after(kReopen);
-  reopen_.async_wait([this](error_code ec) {
+void UdpTransport::retryOpen(const std::string& why) {
+  if (!std::exchange(retry_logged_, true)) log_.line(why + "; trying again", LogLevel::Warning);
+  reopen_timer_.expires_after(kReopenInterval);
+  reopen_timer_.async_wait([this](error_code ec) {
     if (ec || silent_ || socket_.is_open()) return;
     try {
       open();
     } catch (const boost::system::system_error& e) {
-      openLater(e.code().message());
+      retryOpen(e.code().message());
     }
   });
 }
 
 std::string UdpTransport::handOn() {
   std::string text = toText(fleet_->snapshot());
-  const Time until = clock_.now() + kStill;
-  fleet_->beQuiet(clock_.now(), until);
+  const Time until = clock_.now() + kHandoverPause;
+  fleet_->suspendSending(clock_.now(), until);
   error_code ignored;
   socket_.close(ignored);
-  arm();
-  reopen_.expires_after(std::chrono::microseconds(kStill));
-  reopen_.async_wait([this](error_code ec) {
+  armTimer();
+  reopen_timer_.expires_after(std::chrono::microseconds(kHandoverPause));
+  reopen_timer_.async_wait([this](error_code ec) {
     if (!ec && !silent_) resume();
   });
   return text;
@@ -171,84 +171,83 @@
 
 void UdpTransport::resume() {
   if (!started_ || socket_.is_open()) return;
-  if (std::exchange(silent_, false)) tellFacts();
-  fleet_->beQuiet(clock_.now(), clock_.now());
+  if (std::exchange(silent_, false)) refreshFacts();
+  fleet_->suspendSending(clock_.now(), clock_.now());
   try {
     open();
   } catch (const boost::system::system_error& e) {
-    openLater("fleet: can't listen at " + toPrometheusText(settings_.listen) +
-              " again: " + e.code().message());
+    retryOpen("fleet: can't listen at " + addressText(settings_.listen) + " again: " + e.code().message());
   }
-  arm();
+  armTimer();
 }
 
 void UdpTransport::stop() {
   silent_ = true;
-  reopen_.cancel();
-  due_.cancel();
+  reopen_timer_.cancel();
+  protocol_timer_.cancel();
   armed_for_ = kNever;  // resume() arms it anew
-  facts_.cancel();
+  facts_timer_.cancel();
   error_code ignored;
   socket_.close(ignored);
 }
 
 void UdpTransport::leave() {
   if (!started_ || silent_) return;
-  Steps out;
+  Output out;
   fleet_->leave(clock_.now(), out);
-  carryOut(out);
+  apply(out);
 }
 
 // ---- datagrams ----
 
-void UdpTransport::listen() {
+void UdpTransport::awaitDatagrams() {
   socket_.async_wait(asio::ip::udp::socket::wait_read, [this](error_code ec) {
     if (ec || !socket_.is_open()) return;
-    readWaiting();
-    if (socket_.is_open()) listen();
+    readPending();
+    if (socket_.is_open()) awaitDatagrams();
   });
 }
 
-void UdpTransport::readWaiting() {
-  for (std::size_t n = 0; n < kAtOnce && socket_.is_open(); ++n) {
+void UdpTransport::readPending() {
+  for (std::size_t n = 0; n < kMaxReadsPerTurn && socket_.is_open(); ++n) {
     error_code failed;
-    const std::size_t size = socket_.receive_from(asio::buffer(bytes_), from_, 0, failed);
+    const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender_, 0, failed);
     if (failed == asio::error::would_block) break;
     // A datagram of ours reached nobody (ICMP): its loss shows by itself.
-    if (!failed) take(size);
+    if (!failed) onDatagram(size);
   }
 }
 
-void UdpTransport::take(std::size_t size) {
-  ++in_;
+void UdpTransport::onDatagram(std::size_t size) {
+  ++datagrams_in_;
   bytes_in_ += size;
-  const auto known = numbers_.find(from_);
-  const std::string_view datagram(bytes_.data(), size);
+  const auto known = numbers_.find(sender_);
+  const std::string_view datagram(buffer_.data(), size);
   if (known == numbers_.end()) {
-    ++strangers_;
+    ++unknown_senders_;
     // Perhaps another process under this one's number, at an address that no list has.
     const fleet::Decoded decoded = fleet::decode(datagram, fleet::fleetSeed(settings_.name));
     if (decoded.fault == fleet::Fault::None && decoded.message.header.from == settings_.number)
       fleet_->onClaimed(clock_.now());
     return;
   }
-  Steps out;
+  Output out;
   fleet_->receive(clock_.now(), known->second, datagram, out);
-  if (!out.parcels.empty()) ++parcels_in_, parcel_bytes_in_ += size;
-  carryOut(out);
+  if (!out.messages.empty()) ++messages_in_, message_bytes_in_ += size;
+  apply(out);
 }
 
-void UdpTransport::carryOut(const Steps& out) {
+void UdpTransport::apply(const Output& out) {
   for (const fleet::Datagram& d : out.datagrams) {
     const auto to = addresses_.find(d.to);
     if (to == addresses_.end() || !socket_.is_open()) continue;
     error_code failed;
     socket_.send_to(asio::buffer(d.bytes), to->second, 0, failed);
-    ++(failed ? unsent_ : out_);
+    ++(failed ? datagrams_unsent_ : datagrams_out_);
     if (!failed) bytes_out_ += d.bytes.size();
   }
-  for (const fleet::ApplicationMessage& p : out.parcels) {
-    if (take_) take_(p.from, p.bytes);
+  for (const fleet::ApplicationMessage& p : out.messages) {
+    if (on_message_) on_message_(p.from, p.bytes);
   }
   for (const fleet::Change& c : out.changes) {
     std::string line =
@@ -256,35 +255,35 @@
     if (c.is == State::Suspect) line += ", says " + std::to_string(c.by);
     log_.line(line);
   }
-  if (const bool twice = fleet_->twice(clock_.now()); twice != twice_told_) {
-    twice_told_ = twice;
-    log_.line(twice ? "fleet: another process speaks as member " + std::to_string(settings_.number) +
-                          ": give each a number of its own"
-                    : "fleet: no other process speaks as this member any more",
+  if (const bool duplicate = fleet_->duplicateDetected(clock_.now()); duplicate != duplicate_logged_) {
+    duplicate_logged_ = duplicate;
+    log_.line(duplicate ? "fleet: another process speaks as member " + std::to_string(settings_.number) +
+                              ": give each a number of its own"
+                        : "fleet: no other process speaks as this member any more",
               LogLevel::Warning);
   }
-  arm();
+  armTimer();
 }
 
 void UdpTransport::send(Number to, std::string bytes) {
   if (!started_ || silent_) return;
-  Steps out;
-  fleet_->sendParcel(clock_.now(), to, std::move(bytes), out);
-  const std::uint64_t datagrams_before = out_, bytes_before = bytes_out_;
-  carryOut(out);
-  parcels_out_ += out_ - datagrams_before;
-  parcel_bytes_out_ += bytes_out_ - bytes_before;
+  Output out;
+  fleet_->sendMessage(clock_.now(), to, std::move(bytes), out);
+  const std::uint64_t datagrams_before = datagrams_out_, bytes_before = bytes_out_;
+  apply(out);
+  messages_out_ += datagrams_out_ - datagrams_before;
+  message_bytes_out_ += bytes_out_ - bytes_before;
 }
 
 MembershipService::Traffic UdpTransport::traffic() const {
-  return {.datagrams_in = in_,
-          .datagrams_out = out_,
+  return {.datagrams_in = datagrams_in_,
+          .datagrams_out = datagrams_out_,
           .bytes_in = bytes_in_,
           .bytes_out = bytes_out_,
-          .messages_in = parcels_in_,
-          .messages_out = parcels_out_,
-          .message_bytes_in = parcel_bytes_in_,
-          .message_bytes_out = parcel_bytes_out_};
+          .messages_in = messages_in_,
+          .messages_out = messages_out_,
+          .message_bytes_in = message_bytes_in_,
+          .message_bytes_out = message_bytes_out_};
 }
 
 std::vector<MembershipService::Member> UdpTransport::members() const {
@@ -300,60 +299,60 @@
   return all;
 }
 
-void UdpTransport::arm() {
+void UdpTransport::armTimer() {
   const Time due = silent_ ? kNever : fleet_->due();
   if (due == kNever || due >= armed_for_) return;
   armed_for_ = due;
-  due_.expires_after(std::chrono::microseconds(std::max<Time>(0, due - clock_.now())));
-  due_.async_wait([this](error_code ec) {
+  protocol_timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, due - clock_.now())));
+  protocol_timer_.async_wait([this](error_code ec) {
     if (ec) return;
     armed_for_ = kNever;
     if (silent_) return;
-    Steps out;
+    Output out;
     // What waits in the socket came before this: it may say that whom we would accuse is there.
-    readWaiting();
+    readPending();
     fleet_->onTime(clock_.now(), out);
-    carryOut(out);
+    apply(out);
   });
 }
 
-void UdpTransport::tellFacts() {
+void UdpTransport::refreshFacts() {
   const Time now = clock_.now();
   const std::uint64_t requests = local_.admitted();
-  const double seconds = static_cast<double>(now - facts_at_) / static_cast<double>(kSecond);
+  const double seconds = static_cast<double>(now - traffic_measured_at_) / static_cast<double>(kSecond);
   if (seconds > 0) {
-    const double part = std::min(1.0, seconds / kTrafficLasts);
-    traffic_ += part * (static_cast<double>(requests - requests_before_) / seconds - traffic_);
+    const double part = std::min(1.0, seconds / kTrafficWindow);
+    traffic_ += part * (static_cast<double>(requests - last_admitted_) / seconds - traffic_);
   }
-  requests_before_ = requests;
-  facts_at_ = now;
-  tell(false);
-  facts_.expires_after(std::chrono::microseconds(kFactsEvery));
-  facts_.async_wait([this](error_code ec) {
-    if (!ec && !silent_) tellFacts();
+  last_admitted_ = requests;
+  traffic_measured_at_ = now;
+  publishFacts(false);
+  facts_timer_.expires_after(std::chrono::microseconds(kFactsInterval));
+  facts_timer_.async_wait([this](error_code ec) {
+    if (!ec && !silent_) refreshFacts();
   });
 }
 
 // ---- what staff see ----
 
-void UdpTransport::tell(bool urgent) {
+void UdpTransport::publishFacts(bool urgent) {
   fleet::Facts facts;
-  facts.version = kProgram;
+  facts.version = kProgramVersion;
   facts.zone = settings_.zone;
   facts.region = settings_.region;
   facts.traffic = traffic_;
-  if (!zones_.note().empty()) facts.notes.push_back({zone_health::kZonesNote, zones_.note()});
-  fleet_->tell(clock_.now(), facts, urgent);
-  arm();
+  if (!zone_watch_.note().empty()) facts.notes.push_back({zone_health::kZonesNote, zone_watch_.note()});
+  fleet_->setFacts(clock_.now(), facts, urgent);
+  armTimer();
 }
 
-void UdpTransport::lookAtZones() {
+void UdpTransport::evaluateZones() {
   const Time now = clock_.now();
-  if (const auto note = zones_.look(now, fleet_->roster(), fleet_->doubt(now) == fleet::Doubt::None))
-    tell(note->urgent);
-  zones_due_.expires_after(kZonesEvery);
-  zones_due_.async_wait([this](error_code ec) {
-    if (!ec && !silent_) lookAtZones();
+  if (const auto note = zone_watch_.update(now, fleet_->roster(), fleet_->doubt(now) == fleet::Doubt::None))
+    publishFacts(note->urgent);
+  zones_timer_.expires_after(kZonesInterval);
+  zones_timer_.async_wait([this](error_code ec) {
+    if (!ec && !silent_) evaluateZones();
   });
 }
 
@@ -372,9 +371,9 @@
   for (const fleet::ViewedMember& m : v.members) {
     ordered_json one = {{"number", m.number}, {"state", fleet::nameOf(m.state)}};
     if (const auto at = addresses_.find(m.number); at != addresses_.end())
-      one["address"] = toPrometheusText(at->second);
-    if (m.state != State::Unheard) one["since_s"] = ago(m.since);
-    if (m.heard > 0) one["heard_s"] = ago(m.heard);
+      one["address"] = addressText(at->second);
+    if (m.state != State::Unknown) one["since_s"] = ago(m.since);
+    if (m.last_contact > 0) one["heard_s"] = ago(m.last_contact);
     if (!m.accusers.empty()) one["suspected_by"] = m.accusers;
     if (!m.zone.empty()) one["zone"] = m.zone;
     if (!m.region.empty()) one["region"] = m.region;
@@ -384,32 +383,35 @@
     members.push_back(std::move(one));
   }
   const fleet::Drops& d = fleet_->drops();
-  return ordered_json{
-      {"number", v.self},
-      {"sure", v.sure()},
-      {"doubt", fleet::nameOf(v.doubt)},
-      {"live", v.live},
-      {"suspects", v.suspects},
-      {"dead", v.dead},
-      {"left", v.left},
-      {"unheard", v.unheard},
-      {"rank", v.rank},
-      {"unchanged_s", secondsOf(v.unchanged)},
-      {"hash", v.hash},
-      {"refuted", fleet_->refuted()},
-      {"health", fleet_->health().score()},
-      {"datagrams",
-       {{"in", in_}, {"out", out_}, {"bytes_in", bytes_in_}, {"bytes_out", bytes_out_}, {"unsent", unsent_}}},
-      {"drops",
-       {{"short", d.too_short},
-        {"long", d.too_long},
-        {"foreign", d.foreign},
-        {"version", d.version},
-        {"checksum", d.checksum},
-        {"malformed", d.malformed},
-        {"mistaken", d.mistaken},
-        {"stranger", strangers_}}},
-      {"members", members}}
+  return ordered_json{{"number", v.self},
+                      {"sure", v.sure()},
+                      {"doubt", fleet::nameOf(v.doubt)},
+                      {"live", v.live},
+                      {"suspects", v.suspects},
+                      {"dead", v.dead},
+                      {"left", v.left},
+                      {"unheard", v.unknown},
+                      {"rank", v.rank},
+                      {"unchanged_s", secondsOf(v.unchanged)},
+                      {"hash", v.hash},
+                      {"refuted", fleet_->refuted()},
+                      {"health", fleet_->health().score()},
+                      {"datagrams",
+                       {{"in", datagrams_in_},
+                        {"out", datagrams_out_},
+                        {"bytes_in", bytes_in_},
+                        {"bytes_out", bytes_out_},
+                        {"unsent", datagrams_unsent_}}},
+                      {"drops",
+                       {{"short", d.too_short},
+                        {"long", d.too_long},
+                        {"foreign", d.foreign},
+                        {"version", d.version},
+                        {"checksum", d.checksum},
+                        {"malformed", d.malformed},
+                        {"mistaken", d.misaddressed},
+                        {"stranger", unknown_senders_}}},
+                      {"members", members}}
       .dump(2, ' ', false, ordered_json::error_handler_t::replace);  // a name is what some member wrote
 }
 
@@ -421,12 +423,12 @@
                   {"suspect", v.suspects},
                   {"dead", v.dead},
                   {"left", v.left},
-                  {"unheard", v.unheard}};
-  page.datagrams = {{"in", in_}, {"out", out_}};
+                  {"unheard", v.unknown}};
+  page.datagrams = {{"in", datagrams_in_}, {"out", datagrams_out_}};
   page.bytes = {{"in", bytes_in_}, {"out", bytes_out_}};
-  page.drops = {{"short", d.too_short},   {"long", d.too_long},     {"foreign", d.foreign},
-                {"version", d.version},   {"checksum", d.checksum}, {"malformed", d.malformed},
-                {"mistaken", d.mistaken}, {"stranger", strangers_}};
+  page.drops = {{"short", d.too_short},       {"long", d.too_long},          {"foreign", d.foreign},
+                {"version", d.version},       {"checksum", d.checksum},      {"malformed", d.malformed},
+                {"mistaken", d.misaddressed}, {"stranger", unknown_senders_}};
   page.unchanged_seconds = static_cast<double>(v.unchanged) / static_cast<double>(kSecond);
   page.sure = v.sure();
   return metrics::toPrometheusText(page);
--- a/src/fleet_transport/zone_watch.cpp
+++ b/src/fleet_transport/zone_watch.cpp
@@ -23,36 +23,36 @@
   return static_cast<std::size_t>(std::find(names_.begin(), names_.end(), zone) - names_.begin());
 }
 
-void ZoneWatch::see(Time now) {
+void ZoneWatch::observeZones(Time now) {
   std::vector<std::string> names = local_.zones();
   std::sort(names.begin(), names.end());  // the first of several is the same one everywhere
   if (names != names_ || !zone_health_) {
     // Zones are numbered anew: verdicts come back from what the others tell, and orders with them.
     for (std::size_t z = 0; z < names_.size(); ++z) {
-      if (orders_[z] != ZoneDirective::None) local_.setZone(names_[z], ZoneDirective::None);
+      if (directives_[z] != ZoneDirective::None) local_.setZone(names_[z], ZoneDirective::None);
     }
     names_ = std::move(names);
     zone_health_.emplace(names_.size(), indexOf(zone_));
-    known_.clear();
-    orders_.assign(names_.size(), ZoneDirective::None);
-    shown_.assign(names_.size(), ZoneState::Up);
-    told_ = reported();
+    member_reports_.clear();
+    directives_.assign(names_.size(), ZoneDirective::None);
+    logged_states_.assign(names_.size(), ZoneState::Up);
+    last_report_ = ownReport();
   }
   for (std::size_t z = 0; z < names_.size(); ++z)
     zone_health_->observe(z, local_.seen(names_[z], now, zone_health_->since(z)));
 }
 
 // False: nobody has told anything new.
-bool ZoneWatch::read(const fleet::Roster& roster) {
-  bool news = known_.size() != roster.size();
-  known_.resize(roster.size());
+bool ZoneWatch::readReports(const fleet::Roster& roster) {
+  bool changed = member_reports_.size() != roster.size();
+  member_reports_.resize(roster.size());
   for (std::size_t slot = 0; slot < roster.size(); ++slot) {
     const fleet::Member& m = roster.at(slot);
-    Known& k = known_[slot];
+    MemberReport& k = member_reports_[slot];
     const bool live = fleet::isLive(m.standing.state) && m.listed.number != self_;
-    if (std::exchange(k.live, live) != live) news = true;
+    if (std::exchange(k.live, live) != live) changed = true;
     if (!live || (k.version == m.version && !k.report.seen.empty())) continue;
-    news = true;
+    changed = true;
     k.version = m.version;
     const auto facts = fleet::decodeFacts(m.facts);
     const fleet::Facts::Note* const note = facts ? facts->find(zone_health::kZonesNote) : nullptr;
@@ -60,10 +60,10 @@
     const std::string zone = !m.listed.zone.empty() ? m.listed.zone : facts ? facts->zone : std::string();
     k.report = {m.listed.number, indexOf(zone), std::move(reported.seen), std::move(reported.statuses)};
   }
-  return news;
+  return changed;
 }
 
-bool ZoneWatch::calm() const {
+bool ZoneWatch::quiescent() const {
   if (!zone_health_->settledEverywhere()) return false;
   for (std::size_t z = 0; z < names_.size(); ++z) {
     if (zone_health_->observation(z) == ZoneObservation::Unresponsive) return false;
@@ -73,15 +73,15 @@
 
 std::vector<ObserverReport> ZoneWatch::reports() const {
   std::vector<ObserverReport> all;
-  for (const Known& k : known_) {
+  for (const MemberReport& k : member_reports_) {
     if (k.live) all.push_back(k.report);
   }
-  zone_health::ZoneReport own = reported();
+  zone_health::ZoneReport own = ownReport();
   all.push_back({self_, indexOf(zone_), std::move(own.seen), std::move(own.statuses)});
   return all;
 }
 
-zone_health::ZoneReport ZoneWatch::reported() const {
+zone_health::ZoneReport ZoneWatch::ownReport() const {
   zone_health::ZoneReport t;
   for (std::size_t z = 0; z < names_.size(); ++z) {
     t.seen.push_back(zone_health_->reports(z));
@@ -91,8 +91,8 @@
 }
 
 // Others wait for the first words on a doubt, and for a verdict that nobody has told yet.
-bool ZoneWatch::wanted(const zone_health::ZoneReport& before, const zone_health::ZoneReport& after,
-                       const std::vector<ObserverReport>& all) const {
+bool ZoneWatch::isUrgent(const zone_health::ZoneReport& before, const zone_health::ZoneReport& after,
+                         const std::vector<ObserverReport>& all) const {
   for (std::size_t z = 0; z < names_.size(); ++z) {
     // No more say a thing than settle it: each of their words is waited for.
     if (after.seen[z] != before.seen[z] && after.seen[z] != ZoneObservation::None) return true;
@@ -105,19 +105,19 @@
   return false;
 }
 
-void ZoneWatch::order(Time now, const std::vector<ObserverReport>& all, bool sure) {
+void ZoneWatch::applyDirectives(Time now, const std::vector<ObserverReport>& all, bool sure) {
   for (std::size_t z = 0; z < names_.size(); ++z) {
     ZoneDirective wanted = ZoneDirective::None;
     // Lost to the others is not lost to those inside, who see it best: it may be all that they have.
     if (z != indexOf(zone_) && !zone_health_->sendsTraffic(z, self_, now)) {
       // Without a view to rely on nobody can tell who looks after the zone: each does.
-      const bool looks =
+      const bool checks =
           !sure || zone_health::ZoneHealthQuorum::checksHealth(z, zone_health_->status(z).epoch, self_, all);
-      wanted = looks ? ZoneDirective::EjectAndCheck : ZoneDirective::Eject;
+      wanted = checks ? ZoneDirective::EjectAndCheck : ZoneDirective::Eject;
     }
-    if (std::exchange(orders_[z], wanted) != wanted) local_.setZone(names_[z], wanted);
+    if (std::exchange(directives_[z], wanted) != wanted) local_.setZone(names_[z], wanted);
     const ZoneState state = zone_health_->state(z);
-    if (std::exchange(shown_[z], state) == state) continue;
+    if (std::exchange(logged_states_[z], state) == state) continue;
     log_.line("zone state changed zone=" + names_[z] + " state=" + std::string(zone_health::nameOf(state)) +
                   " epoch=" + std::to_string(zone_health_->status(z).epoch) +
                   " unresponsive_to=" + std::to_string(zone_health_->unresponsiveReports(z)) +
@@ -126,22 +126,22 @@
   }
 }
 
-std::optional<ZoneWatch::Note> ZoneWatch::look(Time now, const fleet::Roster& roster, bool sure) {
-  see(now);
-  if (!read(roster) && calm()) return std::nullopt;
+std::optional<ZoneWatch::Note> ZoneWatch::update(Time now, const fleet::Roster& roster, bool sure) {
+  observeZones(now);
+  if (!readReports(roster) && quiescent()) return std::nullopt;
   std::vector<ObserverReport> all = reports();
   zone_health_->evaluate(now, all, sure);
-  order(now, all, sure);
-  const zone_health::ZoneReport after = reported();
+  applyDirectives(now, all, sure);
+  const zone_health::ZoneReport after = ownReport();
   std::string bytes = zone_health::encode(names_, after);
-  const bool urgent = wanted(told_, after, all);
-  told_ = after;
+  const bool urgent = isUrgent(last_report_, after, all);
+  last_report_ = after;
   if (bytes == note_) return std::nullopt;
   note_ = std::move(bytes);
   return Note{note_, urgent};
 }
 
-std::vector<std::string> ZoneWatch::lost() const {
+std::vector<std::string> ZoneWatch::lostZones() const {
   std::vector<std::string> all;
   for (std::size_t z = 0; zone_health_ && z < names_.size(); ++z) {
     if (zone_health_->excluded(z)) all.push_back(names_[z]);
@@ -153,18 +153,19 @@
   using nlohmann::ordered_json;
   ordered_json zones = ordered_json::array();
   for (std::size_t z = 0; zone_health_ && z < names_.size(); ++z) {
-    constexpr const char* kSeen[] = {"nothing", "answers", "silence"};
-    constexpr const char* kOrders[] = {"free", "watch", "away"};
-    ordered_json one = {{"zone", names_[z]},
-                        {"state", zone_health::nameOf(zone_health_->state(z))},
-                        {"epoch", zone_health_->status(z).epoch},
-                        {"seen_here", kSeen[static_cast<std::size_t>(zone_health_->observation(z))]},
-                        {"silent_to", zone_health_->unresponsiveReports(z)},
-                        {"answers", zone_health_->respondingReports(z)},
-                        {"order", kOrders[static_cast<std::size_t>(orders_[z])]},
-                        {"flaps", zone_health_->flaps(z)}};
+    constexpr const char* kObservationNames[] = {"nothing", "answers", "silence"};
+    constexpr const char* kDirectiveNames[] = {"free", "watch", "away"};
+    ordered_json one = {
+        {"zone", names_[z]},
+        {"state", zone_health::nameOf(zone_health_->state(z))},
+        {"epoch", zone_health_->status(z).epoch},
+        {"seen_here", kObservationNames[static_cast<std::size_t>(zone_health_->observation(z))]},
+        {"silent_to", zone_health_->unresponsiveReports(z)},
+        {"answers", zone_health_->respondingReports(z)},
+        {"order", kDirectiveNames[static_cast<std::size_t>(directives_[z])]},
+        {"flaps", zone_health_->flaps(z)}};
     ordered_json by = ordered_json::array();
-    for (const Known& k : known_) {
+    for (const MemberReport& k : member_reports_) {
       if (k.live && k.report.seen[z] == ZoneObservation::Unresponsive) by.push_back(k.report.member);
     }
     one["silence_told_by"] = by;
--- a/tests/fleet_sim.h
+++ b/tests/fleet_sim.h
@@ -80,16 +80,16 @@
     own.self = node.number;
     adapt(own);
     ++node.starts;
-    const auto life = static_cast<std::uint16_t>(random_.next());
+    const auto nonce = static_cast<std::uint16_t>(random_.next());
     node.fleet = std::make_unique<Fleet>(
-        own, list, incarnationAt(1'700'000'000'000 + local(node, now) / 1000, life), random_.next());
+        own, list, incarnationAt(1'700'000'000'000 + local(node, now) / 1000, nonce), random_.next());
     node.frozen_until = 0;
     node.held.clear();
     node.seen.clear();
     Out out;
     if (remembered != nullptr) node.fleet->restore(*remembered, local(node, now));
-    node.fleet->tell(local(node, now),
-                     Facts{1, "zone-" + std::to_string(n % 3), "south", static_cast<double>(n), {}});
+    node.fleet->setFacts(local(node, now),
+                         Facts{1, "zone-" + std::to_string(n % 3), "south", static_cast<double>(n), {}});
     node.fleet->start(local(node, now), out);
     after(n, out);
   }
@@ -279,7 +279,7 @@
       before = m.standing;
       if (of == node.number && m.standing.state != State::Alive && m.standing.state != State::Left)
         fail(n, "holds itself for " + std::string(nameOf(m.standing.state)));
-      if (m.facts.size() > kMostFacts) fail(n, "holds a record of " + std::to_string(m.facts.size()));
+      if (m.facts.size() > kMaxFactsBytes) fail(n, "holds a record of " + std::to_string(m.facts.size()));
     }
   }
   void fail(std::size_t n, const std::string& what) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -45,7 +45,7 @@
   const auto w = fleet(40);
   for (std::size_t n = 0; n < 40; n += 2) w->start(n);
   EXPECT_TRUE(settles(*w, 5 * kSecond));
-  EXPECT_EQ(w->nodes[0].fleet->view(w->localNow(0)).unheard, 20U);
+  EXPECT_EQ(w->nodes[0].fleet->view(w->localNow(0)).unknown, 20U);
   w->runFor(5 * kSecond);
   EXPECT_EQ(w->nodes[0].fleet->doubt(w->localNow(0)), Doubt::None)
       << "of those that never were nobody is missed";
@@ -243,23 +243,23 @@
   h.to = 3;
   w->inject(2, 0, Writer(h, w->settings.fleet).finish());
   w->runFor(kSecond);
-  EXPECT_EQ(w->nodes[0].fleet->drops().mistaken, 2U);
+  EXPECT_EQ(w->nodes[0].fleet->drops().misaddressed, 2U);
   EXPECT_TRUE(w->settled());
   check(*w);
 }
 
 TEST_P(FleetTest, ANumberUsedTwiceIsNoticedByBoth) {
   const auto w = settled(10);
-  EXPECT_FALSE(w->nodes[6].fleet->twice(w->localNow(6)));
+  EXPECT_FALSE(w->nodes[6].fleet->duplicateDetected(w->localNow(6)));
   const std::size_t twin = w->twin(6);
   EXPECT_NE(w->until(20 * kSecond,
                      [&] {
-                       return w->nodes[6].fleet->twice(w->localNow(6)) &&
-                              w->nodes[twin].fleet->twice(w->localNow(twin));
+                       return w->nodes[6].fleet->duplicateDetected(w->localNow(6)) &&
+                              w->nodes[twin].fleet->duplicateDetected(w->localNow(twin));
                      }),
             kNever)
       << GetParam();
-  EXPECT_EQ(w->nodes[6].fleet->doubt(w->localNow(6)), Doubt::Twice);
+  EXPECT_EQ(w->nodes[6].fleet->doubt(w->localNow(6)), Doubt::DuplicateNumber);
   w->kill(twin);
   w->runFor(40 * kSecond);
   EXPECT_EQ(w->nodes[6].fleet->doubt(w->localNow(6)), Doubt::None) << "it is over";
@@ -274,7 +274,7 @@
     w->nodes[6].clock_offset -= back;
     w->start(6);
     EXPECT_TRUE(settles(*w, 5 * kSecond));
-    EXPECT_FALSE(w->nodes[6].fleet->twice(w->localNow(6)));
+    EXPECT_FALSE(w->nodes[6].fleet->duplicateDetected(w->localNow(6)));
     w->runFor(30 * kSecond);
   }
   EXPECT_NE(w->until(kMinute, [&] { return w->recordsSettled(); }), kNever)
@@ -324,12 +324,12 @@
   for (auto& n : w->nodes) n.changes.clear();
   w->start(4, &remembered);
   EXPECT_EQ(w->nodes[4].fleet->roster().live(), 10U) << "it knows all from its first moment";
-  EXPECT_EQ(w->nodes[4].fleet->doubt(w->localNow(4)), Doubt::Differs) << "but for having heard anybody";
+  EXPECT_EQ(w->nodes[4].fleet->doubt(w->localNow(4)), Doubt::ViewsDiffer) << "but for having heard anybody";
   w->runFor(30 * kSecond);
   EXPECT_EQ(w->nodes[4].fleet->doubt(w->localNow(4)), Doubt::None);
   EXPECT_EQ(w->nodes[4].fleet->incarnation(), before);
   for (const auto& n : w->nodes) EXPECT_TRUE(n.changes.empty()) << n.number;
-  EXPECT_FALSE(w->nodes[4].fleet->twice(w->localNow(4)));
+  EXPECT_FALSE(w->nodes[4].fleet->duplicateDetected(w->localNow(4)));
   check(*w);
 }
 
@@ -346,7 +346,7 @@
   next.erase(next.begin() + 11);
   const auto hand = [&](std::size_t from, std::size_t to) {
     for (std::size_t n = from; n < to; ++n) {
-      if (w->runs(n)) w->nodes[n].fleet->list(w->localNow(n), next);
+      if (w->runs(n)) w->nodes[n].fleet->setMembers(w->localNow(n), next);
     }
   };
   w->check = false;  // who is no longer listed is forgotten on purpose
@@ -361,7 +361,7 @@
   w->start(13);
   EXPECT_TRUE(settles(*w, 8 * kSecond));
   EXPECT_EQ(w->nodes[13].fleet->roster().live(), 13U);
-  EXPECT_THROW(w->nodes[3].fleet->list(w->now, {{1}, {2}}), std::invalid_argument)
+  EXPECT_THROW(w->nodes[3].fleet->setMembers(w->now, {{1}, {2}}), std::invalid_argument)
       << "it is not in it itself";
   EXPECT_EQ(w->nodes[3].fleet->roster().live(), 13U);
 }
@@ -369,7 +369,8 @@
 TEST_P(FleetTest, AnUrgentRecordIsWithAllInASecondAndOthersBeforeLong) {
   const auto w = settled(60);
   ASSERT_NE(w->until(2 * kMinute, [&] { return w->recordsSettled(); }), kNever);
-  w->nodes[9].fleet->tell(w->localNow(9), Facts{2, "zone-0", "south", 9, {{20, "zone b is silent"}}}, true);
+  w->nodes[9].fleet->setFacts(w->localNow(9), Facts{2, "zone-0", "south", 9, {{20, "zone b is silent"}}},
+                              true);
   w->runFor(kMillisecond);
   EXPECT_NE(w->until(1500 * kMillisecond, [&] { return w->recordsSettled(); }), kNever) << GetParam();
   const View v = w->nodes[40].fleet->view(w->localNow(40));
@@ -399,7 +400,7 @@
 TEST_P(FleetTest, MutationWithoutSuspicionLossKillsTheLiving) {
   const auto deaths = [&](Time suspicion) {
     const auto w = fleet(24);
-    w->settings.suspicion = suspicion;
+    w->settings.min_suspicion = suspicion;
     w->startAll();
     w->runFor(5 * kSecond);
     w->falseDeaths = 0;
@@ -408,13 +409,13 @@
     return w->falseDeaths;
   };
   EXPECT_GT(deaths(0), 0U);
-  EXPECT_EQ(deaths(Settings{}.suspicion), 0U);
+  EXPECT_EQ(deaths(Settings{}.min_suspicion), 0U);
 }
 
 TEST_P(FleetTest, MutationWithoutIncarnationsTheFrozenStayDead) {
   for (const bool refutes : {false, true}) {
     const auto w = fleet(12);
-    w->settings.refutes = refutes;
+    w->settings.refute_suspicion = refutes;
     w->startAll();
     w->runFor(5 * kSecond);
     w->freeze(5, 10 * kSecond);
@@ -426,7 +427,7 @@
 TEST_P(FleetTest, MutationWithoutTryingTheDeadHalvesStayApart) {
   for (const bool tries : {false, true}) {
     const auto w = fleet(12);
-    if (!tries) w->settings.try_dead = kNever;
+    if (!tries) w->settings.dead_ping_interval = kNever;
     w->startAll();
     w->runFor(5 * kSecond);
     w->cut = [](Number a, Number b) { return (a < 6) != (b < 6); };
--- a/tests/fleet_wire_test.cpp
+++ b/tests/fleet_wire_test.cpp
@@ -32,14 +32,14 @@
 // The bits above it hold the state in rumours: nobody could read what was said of such a member.
 TEST(FleetWire, AnIncarnationThatNoProcessHasIsMalformed) {
   Header h = header();
-  h.incarnation = kMostIncarnation + 1;
+  h.incarnation = kMaxIncarnation + 1;
   EXPECT_EQ(decode(Writer(h, kFleet).finish(), kFleet).fault, Fault::Malformed);
-  h.incarnation = kMostIncarnation;
+  h.incarnation = kMaxIncarnation;
   EXPECT_EQ(decode(Writer(h, kFleet).finish(), kFleet).fault, Fault::None);
 }
 
 TEST(FleetWire, EveryItemComesBackAsItWas) {
-  Writer writer(header(Kind::Talk), kFleet);
+  Writer writer(header(Kind::Gossip), kFleet);
   ASSERT_TRUE(writer.add(Subject{12}));
   ASSERT_TRUE(writer.add(Rumour{1, {incarnationAt(1'790'000'000'000, 5), State::Suspect}, 8}));
   ASSERT_TRUE(writer.add(Rumour{2, {incarnationAt(1'790'000'000'001, 6), State::Left}}));
@@ -51,7 +51,7 @@
   const Decoded d = decode(writer.finish(), kFleet);
   ASSERT_EQ(d.fault, Fault::None);
   const Header& h = d.message.header;
-  EXPECT_EQ(h.kind, Kind::Talk);
+  EXPECT_EQ(h.kind, Kind::Gossip);
   EXPECT_EQ(h.from, 3);
   EXPECT_EQ(h.to, 9);
   EXPECT_EQ(h.incarnation, header().incarnation);
@@ -157,11 +157,11 @@
   EXPECT_EQ(back->find(99), nullptr);
   facts.notes.push_back({22, std::string(60, 'y')});
   facts.zone = std::string(200, 'a');
-  EXPECT_LE(encode(facts).size(), kMostFacts);
-  EXPECT_EQ(decodeFacts(encode(facts))->zone.size(), kMostName);
+  EXPECT_LE(encode(facts).size(), kMaxFactsBytes);
+  EXPECT_EQ(decodeFacts(encode(facts))->zone.size(), kMaxNameBytes);
   EXPECT_EQ(decodeFacts(encode(facts))->find(22), nullptr) << "the last ones are left out";
   EXPECT_FALSE(decodeFacts(std::string("\x02\x09half", 6)));
-  EXPECT_FALSE(decodeFacts(std::string(kMostFacts + 1, '\0')));
+  EXPECT_FALSE(decodeFacts(std::string(kMaxFactsBytes + 1, '\0')));
 }
 
 // Whatever comes first, and how often: the same in the end.
@@ -180,7 +180,7 @@
     }
     const auto apply = [&](const std::vector<std::size_t>& order) {
       Roster r;
-      r.list({{0}, {3}, {17}, {18}, {300}});
+      r.setMembers({{0}, {3}, {17}, {18}, {300}});
       for (const std::size_t i : order) {
         r.merge(news[i].slot, news[i].standing, 0);
         r.merge(news[i].slot, news[i].version, std::to_string(news[i].version.sequence));
@@ -199,8 +199,8 @@
       RC_ASSERT(first.at(slot).version == second.at(slot).version);
     }
     for (std::uint16_t b = 0; b < first.blocks(); ++b) {
-      RC_ASSERT(first.standingsOf(b) == second.standingsOf(b));
-      RC_ASSERT(first.recordsOf(b) == second.recordsOf(b));
+      RC_ASSERT(first.standingsHash(b) == second.standingsHash(b));
+      RC_ASSERT(first.recordsHash(b) == second.recordsHash(b));
     }
     RC_ASSERT(first.live() == second.live());
   });
@@ -208,18 +208,18 @@
 
 TEST(FleetRoster, ANewListKeepsWhatIsKnownAndForgetsWhoIsGone) {
   Roster r;
-  r.list({{1}, {2}, {40}});
+  r.setMembers({{1}, {2}, {40}});
   r.merge(0, Standing{5, State::Alive}, 10);
   r.merge(2, Standing{6, State::Dead}, 10);
-  r.list({{40}, {1}, {50}});
+  r.setMembers({{40}, {1}, {50}});
   ASSERT_EQ(r.size(), 3U);
   EXPECT_EQ(r.at(*r.find(1)).standing, (Standing{5, State::Alive}));
   EXPECT_EQ(r.at(*r.find(40)).standing, (Standing{6, State::Dead}));
   EXPECT_FALSE(r.find(2));
   EXPECT_EQ(r.live(), 1U);
-  EXPECT_EQ(r.count(State::Unheard), 1U);
+  EXPECT_EQ(r.count(State::Unknown), 1U);
   const std::uint32_t hash = r.hash();
-  r.list({{1}, {40}});
+  r.setMembers({{1}, {40}});
   EXPECT_EQ(r.hash(), hash) << "of whom nobody has heard does not count";
 }
 
