--- a/src/fleet/anti_entropy.cpp
+++ b/src/fleet/anti_entropy.cpp
@@ -1,5 +1,5 @@
-// Repair of what gossip has missed: views are compared by digests over blocks of members, and what differs is
-// exchanged.
+// Anti-entropy repairs what gossip has missed: members compare digests over blocks of their views and
+// exchange the blocks that differ.
 #include <algorithm>
 #include <map>
 #include <utility>
@@ -11,18 +11,18 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr Time kCompareAfter = 400 * kMillisecond;        // nobody has held the same view for so long
+constexpr Time kCompareAfter = 400 * kMillisecond;        // without a member that reports the same view
 constexpr Time kCompareInterval = 300 * kMillisecond;     // standings
 constexpr Time kCompareRecordsSoon = 500 * kMillisecond;  // after records were found to differ
-constexpr std::size_t kMaxBlocksPerReply = 8;             // sent in answer to one digest
-constexpr std::size_t kMaxDigestHashes = 50;              // hashes in one
+constexpr std::size_t kMaxBlocksPerReply = 8;             // sent in reply to one digest
+constexpr std::size_t kMaxDigestHashes = 50;              // hashes in one digest
 constexpr std::size_t kMaxHeldPerDatagram = 12;           // versions that fit a datagram
 constexpr std::size_t kRecordOverhead = 17;               // bytes of a record beside its facts
 
 }  // namespace
 
-// Anti-entropy of standings starts only once nobody has held the same view for some time: until then gossip
-// is expected to make the views equal.
+// Standings are compared only after no member has reported the same view for some time: until then gossip is
+// expected to make the views equal.
 void Fleet::compareStandings(Time now, std::size_t slot, std::uint32_t their_view, Out& out) {
   if (their_view == roster_.hash() || now - agreed_at_ <= kCompareAfter || now < compare_standings_at_)
     return;
@@ -31,7 +31,7 @@
   sendDigest(now, slot, Digest::Of::Standings, out);
 }
 
-// Compares records with one member by chance, also where nothing is known to differ.
+// Compares records with one random member, even if no difference is known.
 void Fleet::compareRecords(Time now, Out& out) {
   compare_records_at_ = now + kCompareRecordsInterval;
   if (!maySpend()) return;
@@ -42,8 +42,8 @@
   const std::uint16_t blocks = roster_.blocks();
   Digest digest;
   digest.of = of;
-  // Fixed windows, one by chance: with windows that may begin anywhere, blocks at the ends would hardly ever
-  // be compared.
+  // One of a fixed set of windows at random: with windows that start at any block, the blocks at both ends
+  // would hardly ever be compared.
   const auto parts = static_cast<std::uint32_t>((blocks + kMaxDigestHashes - 1) / kMaxDigestHashes);
   digest.first = static_cast<std::uint16_t>(random_.below(std::max(1U, parts)) * kMaxDigestHashes);
   for (std::uint16_t b = digest.first; b < blocks && digest.hashes.size() < kMaxDigestHashes; ++b)
@@ -79,7 +79,7 @@
   send(now, slot, Kind::Gossip, 0, items, out);
 }
 
-// The versions of the records that this member holds of a block, in as many datagrams as it takes.
+// Sends the versions of this member's records of a block, in as many datagrams as needed.
 void Fleet::sendHeldVersions(Time now, std::size_t slot, std::uint16_t block, Out& out) {
   std::vector<Item> items;
   for (const Member& m : roster_.membersOf(block)) {
@@ -91,7 +91,7 @@
   if (!items.empty()) send(now, slot, Kind::Gossip, 0, items, out);
 }
 
-// The block's rumours have been applied already; what this member knows better goes back.
+// The block's rumours have been applied already; sends back the standings that are newer here.
 void Fleet::answerBlock(Time now, std::size_t slot, const Block& block, const Message& message, Out& out) {
   if (!block.reply_requested) return;
   std::map<Number, Standing> theirs;
@@ -105,10 +105,9 @@
   if (items.size() > 1 && maySpend()) send(now, slot, Kind::Gossip, 0, items, out);
 }
 
-// Sends the records of which this member holds a newer version, and asks for those of which it holds an
-// older.
+// Sends the records that are newer here, and requests those that are newer at the sender.
 void Fleet::answerHeldVersions(Time now, std::size_t slot, const Message& message, Out& out) {
-  std::vector<Item> records, asked;
+  std::vector<Item> records, requests;
   for (const Item& item : message.items) {
     const auto* const held = std::get_if<Held>(&item);
     const auto of = held != nullptr ? roster_.find(held->member) : std::nullopt;
@@ -116,13 +115,13 @@
     const Member& m = roster_.at(*of);
     if (m.version > held->version && held->reply_requested)
       records.emplace_back(Record{held->member, m.version, false, m.facts});
-    if (m.version < held->version && *of != self_) asked.emplace_back(Held{held->member, m.version, true});
+    if (m.version < held->version && *of != self_) requests.emplace_back(Held{held->member, m.version, true});
   }
-  if (!asked.empty() && maySpend()) send(now, slot, Kind::Gossip, 0, asked, out);
+  if (!requests.empty() && maySpend()) send(now, slot, Kind::Gossip, 0, requests, out);
   sendRecords(now, slot, std::move(records), out);
 }
 
-// As many records to a datagram as fit, and as many datagrams as the budget allows.
+// Packs as many records into each datagram as fit, and sends as many datagrams as the budget allows.
 void Fleet::sendRecords(Time now, std::size_t slot, std::vector<Item> records, Out& out) {
   while (!records.empty() && maySpend()) {
     std::vector<Item> fitting;
--- a/src/fleet/dissemination.cpp
+++ b/src/fleet/dissemination.cpp
@@ -1,4 +1,4 @@
-// Sending: gossip by piggybacking and in rounds, this member's own record, and other packages' payloads.
+// Sending: gossip, piggybacked and in rounds, this member's own record, and other packages' payloads.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -9,7 +9,8 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr double kRepairReserve = 4.0 * kMostDatagram;  // of the budget: left to anti-entropy by gossip
+constexpr double kRepairReserve =
+    4.0 * kMostDatagram;  // bytes of the budget that gossip leaves to anti-entropy
 
 }  // namespace
 
@@ -18,7 +19,7 @@
                   settings_.burst_bytes_per_member * static_cast<double>(roster_.size()));
 }
 
-// Slots of `count` live members by chance, without this one and the one in slot `excluded`.
+// Slots of up to `count` random alive members, without this one and the one in slot `excluded`.
 std::vector<std::size_t> Fleet::pick(std::size_t count, std::size_t excluded) {
   std::vector<std::size_t> live;
   for (std::size_t slot = 0; slot < roster_.size(); ++slot) {
@@ -45,8 +46,8 @@
   return header;
 }
 
-// A datagram with these items, then as much gossip as fits. A datagram that lists a whole block carries
-// nothing else, since the receiver takes its rumours for all that is known of that block.
+// Sends these items, then as much gossip as fits. A datagram with a Block carries nothing else, since the
+// receiver takes its rumours as the complete contents of that block.
 void Fleet::send(Time now, std::size_t to, Kind kind, std::uint32_t sequence, const std::vector<Item>& items,
                  Out& out) {
   if (now < sending_suspended_until_) return;
@@ -72,7 +73,7 @@
   return true;
 }
 
-// A round of gossip: datagrams to some members by chance, for news that no probe has carried yet.
+// Sends a round of gossip to some random members, for updates that are not yet carried by probes.
 void Fleet::gossip(Time now, Out& out) {
   next_gossip_at_ = now + settings_.gossip_interval;
   if (!gossip_queue_.needsRound() || !budget_.has(kRepairReserve)) return;
--- a/src/fleet/failure_detection.cpp
+++ b/src/fleet/failure_detection.cpp
@@ -1,5 +1,5 @@
-// SWIM's failure detector: direct and indirect probes, suspicion with Lifeguard's times, and tries to reach
-// members that are held for dead.
+// SWIM's failure detector: direct and indirect probes, suspicion with Lifeguard's timeouts, and pings of
+// members that are considered dead.
 #include <algorithm>
 #include <cmath>
 #include <optional>
@@ -11,9 +11,9 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr Time kAloneInterval = 500 * kMillisecond;  // between tries while no other member answers
-constexpr Time kJoinPhase = 3 * kSecond;             // after the start: tries are more frequent
-constexpr std::size_t kAloneFanout = 3;              // members at once while alone
+constexpr Time kAloneInterval = 500 * kMillisecond;  // between pings while no other member replies
+constexpr Time kJoinPhase = 3 * kSecond;             // after the start, with more frequent pings
+constexpr std::size_t kAloneFanout = 3;              // members pinged at once while alone
 constexpr std::size_t kMaxRelays = 64;
 
 }  // namespace
@@ -25,7 +25,7 @@
 
 void Fleet::probeNext(Time now, Out& out) {
   const auto target = probe_order_.next(roster_, settings_.self, random_);
-  // From the planned time and not from when the timer fired, or periods would drift.
+  // Based on the planned time and not on when the timer fired, or the interval would drift.
   const Time planned = next_probe_at_ + health_.scaled(settings_.probe_interval);
   next_probe_at_ = std::max(planned, now + settings_.probe_interval / 2);
   if (!target) return;
@@ -40,7 +40,7 @@
 
 void Fleet::onProbeTime(Time now, Out& out) {
   if (probe_ && !probe_->answered && now >= probe_->resend_at) {
-    // Most probes that look failed are one lost datagram.
+    // Most probes without a reply are due to one lost datagram.
     probe_->resend_at = now + settings_.probe_timeout / 2;
     send(now, probe_->slot, Kind::Ping, probe_->sequence, {}, out);
   }
@@ -60,7 +60,7 @@
 }
 
 void Fleet::onProbeFailed(Time now, Out& out) {
-  // Lifeguard: helpers that did not even send a nack suggest that this member is the one cut off.
+  // Lifeguard: helpers that did not even send a nack suggest that this member itself is cut off.
   const std::size_t silent = probe_->helpers - std::min(probe_->helpers, probe_->nacks);
   health_.degrade(probe_->helpers == 0 ? 1 : static_cast<int>(silent));
   suspect(now, probe_->slot, settings_.self, out);
@@ -92,7 +92,7 @@
   relays_.erase(relay);
 }
 
-// Tells the askers of indirect probes that were not answered in time.
+// Sends nacks for indirect probes that were not answered in time.
 void Fleet::expireRelays(Time now, Out& out) {
   std::erase_if(relays_, [&](const auto& entry) {
     const Relay& relay = entry.second;
@@ -125,13 +125,13 @@
   }
 }
 
-// Pings members that are dead or were never heard of, so that a healed partition or a restart is noticed.
+// Pings members that are dead or unknown, so that a healed partition or a restart is detected.
 void Fleet::pingUnreachable(Time now, Out& out) {
   const bool alone = roster_.live() <= 1;
   std::vector<std::size_t> unreachable;
   for (std::size_t slot = 0; slot < roster_.size(); ++slot) {
     const State s = roster_.at(slot).standing.state;
-    // While alone, members that left are tried too: they may have come back unheard.
+    // While alone, members that left are pinged too: their return may have been missed.
     if (s == State::Unknown || s == State::Dead || (alone && s == State::Left && slot != self_))
       unreachable.push_back(slot);
   }
@@ -145,7 +145,7 @@
   unreachable_jitter_ = 0.9 + 0.2 * random_.unit();
 }
 
-// Depends on how many are unreachable now, not on how many were at the last try.
+// Computed from the number of members that are unreachable now, not from the number at the last ping.
 Time Fleet::pingUnreachableAt(Time now) const {
   const bool alone = roster_.live() <= 1;
   if (alone && settings_.dead_ping_interval != kNever)
@@ -153,7 +153,7 @@
   if (alone) return now - started_at_ < kJoinPhase ? unreachable_pinged_at_ + kJoinInterval : kNever;
   const std::size_t unreachable = roster_.count(State::Dead) + roster_.count(State::Unknown);
   if (unreachable == 0 || settings_.dead_ping_interval == kNever) return kNever;
-  // All live members together try each unreachable one equally often, however many there are of either.
+  // All live members together ping each unreachable one at the same rate, however many there are of either.
   const auto each = std::max(1.0, static_cast<double>(roster_.live()) / static_cast<double>(unreachable));
   return unreachable_pinged_at_ +
          static_cast<Time>(static_cast<double>(settings_.dead_ping_interval) * each * unreachable_jitter_);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -8,8 +8,9 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr Time kPauseThreshold = 600 * kMillisecond;  // later than due by more: this process stood still
-constexpr std::size_t kLeaveFanout = 8;               // members that are told of a leave
+constexpr Time kPauseThreshold =
+    600 * kMillisecond;                  // a call later than due by more: the process was suspended
+constexpr std::size_t kLeaveFanout = 8;  // members that a leave is announced to
 
 }  // namespace
 
@@ -25,11 +26,13 @@
   next.setMembers(members);
   const auto mine = next.find(settings_.self);
   if (!mine)
-    throw std::invalid_argument("the list of members lacks this one, " + std::to_string(settings_.self));
+    throw std::invalid_argument("the list of members does not contain this member, number " +
+                                std::to_string(settings_.self));
   for (std::size_t slot = 0; slot < next.size(); ++slot) {
     const Number number = next.at(slot).listed.number;
     if (next.find(number) != slot)
-      throw std::invalid_argument("the list of members holds a number twice, " + std::to_string(number));
+      throw std::invalid_argument("the list of members contains a number more than once: " +
+                                  std::to_string(number));
   }
   roster_ = std::move(next);
   self_ = *mine;
@@ -40,16 +43,16 @@
   if (started_) schedule(now);
 }
 
-void Fleet::restore(const MembershipSnapshot& remembered, Time now) {
-  for (const MembershipSnapshot::Known& k : remembered.members) {
+void Fleet::restore(const MembershipSnapshot& previous, Time now) {
+  for (const MembershipSnapshot::Known& k : previous.members) {
     const auto slot = roster_.find(k.number);
     if (!slot || *slot == self_) continue;
     roster_.merge(*slot, k.standing, now);
     roster_.merge(*slot, k.version, k.facts);
   }
-  roster_.set(self_, Standing{remembered.incarnation, State::Alive}, now);
+  roster_.set(self_, Standing{previous.incarnation, State::Alive}, now);
   Member& me = roster_.at(self_);
-  me.version = {incarnation(), remembered.record};
+  me.version = {incarnation(), previous.record};
   restored_ = true;
 }
 
@@ -77,8 +80,8 @@
   onTime(now, out);
 }
 
-// Accounts for the time since the last call. A call that comes much later than due() asked for means that
-// this process stood still.
+// Accounts for the time since the last call. A call much later than due() means that the process was
+// suspended.
 void Fleet::advance(Time now) {
   const Time gap = now - std::max(clock_, due_ == kNever ? now : std::min(due_, now));
   if (gap > kPauseThreshold) onPause(now, gap);
@@ -86,7 +89,8 @@
   clock_ = now;
 }
 
-// Probes that went unanswered meanwhile show nothing about others, and suspects could not be heard refuting.
+// Probes that went unanswered during the pause are no evidence against others, and refutations of suspects
+// could not be received.
 void Fleet::onPause(Time now, Time gap) {
   paused_at_ = now;
   health_.degrade(2);
--- a/src/fleet/gossip_queue.cpp
+++ b/src/fleet/gossip_queue.cpp
@@ -8,18 +8,19 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr std::size_t kBacklogThreshold = 44;                      // standings: more than two datagrams hold
-constexpr int kSendsPerRecord = 3;                                 // that are not urgent
-constexpr std::size_t kMinStandingSize = 12, kMinRecordSize = 19;  // bytes that an item takes at least
+constexpr std::size_t kBacklogThreshold = 44;  // queued standings, more than two datagrams hold
+constexpr int kSendsPerRecord = 3;             // not urgent ones
+constexpr std::size_t kMinStandingSize = 12, kMinRecordSize = 19;  // bytes of the smallest item
 
-// Standings or records.
+// What addItems() needs to know of standings or records.
 struct ItemKind {
   int Member::*sends_left = nullptr;
-  int cost = 1;              // of one send, in sends
+  int cost = 1;              // subtracted from the sends left, for each send
   std::size_t min_size = 0;  // bytes
 };
 
-// Moves as many items into the datagram as fit, those to be sent most often first, equal ones by chance.
+// Adds as many items to the datagram as fit, those with the most sends left first, equal ones in random
+// order.
 template <typename ItemOf>
 void addItems(Writer& writer, Roster& roster, std::size_t to, std::vector<std::size_t>& slots,
               const ItemKind& kind, load_balancer::Random& random, ItemOf item_of) {
@@ -55,8 +56,7 @@
   return 4 * static_cast<int>(std::ceil(std::log10(static_cast<double>(roster.live() + 1))));
 }
 
-// Where much is new at once, each piece is sent less often: what some miss is found by digests, and costs
-// less that way.
+// With a large backlog each update is sent less often: repairing the missed ones by anti-entropy costs less.
 int GossipQueue::sendCost() const { return standings_.size() > kBacklogThreshold ? 3 : 1; }
 
 void GossipQueue::addStanding(Roster& roster, std::size_t slot) {
--- a/src/fleet/include/fleet/bytes.h
+++ b/src/fleet/include/fleet/bytes.h
@@ -1,4 +1,4 @@
-// Whole numbers in bytes, the least significant first.
+// Little-endian encoding and decoding of integers.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +8,14 @@
 
 namespace client_proxy::fleet {
 
+// Appends `value` in little-endian byte order.
 template <typename T>
 void put(std::string& out, T value) {
   for (std::size_t i = 0; i < sizeof(T); ++i)
     out += static_cast<char>(static_cast<std::uint8_t>(static_cast<std::uint64_t>(value) >> (8 * i)));
 }
 
-// Reads from the front; what runs over the end gives zeros, and ok() is false from then on.
+// Reads from the front. A read past the end returns zero (or an empty view), and ok() is false from then on.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
--- a/src/fleet/include/fleet/duplicate_number.h
+++ b/src/fleet/include/fleet/duplicate_number.h
@@ -1,4 +1,4 @@
-// Detects a second process that runs under this member's number. No I/O, no clock.
+// Detects a second process that runs with this member's number. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -8,19 +8,19 @@
 
 namespace client_proxy::fleet {
 
-// An incarnation of another life that is above ours is either left over from the process before this one,
-// whose clock was ahead: one refutation ends that. Or its owner still runs and raises its own incarnation as
-// often as we raise ours.
+// An incarnation with a foreign nonce that is above ours has one of two causes. It may be left over from the
+// previous process of this member, whose clock was ahead: a single refutation supersedes it. Or another
+// process still runs with the same number and raises its incarnation each time we raise ours.
 class DuplicateNumber {
  public:
-  // A datagram that claims this member's number came from elsewhere.
+  // A datagram with this member's number as its sender arrived from another process.
   void onClaimed(Time now) { claimed_at_ = now; }
-  // A standing of this member has arrived whose incarnation belongs to another life. False: it is not to be
-  // refuted yet, or two processes would fill the network with refutations.
+  // A standing of this member with a foreign nonce was received. Returns whether to refute it now:
+  // refutations are limited to one per kRefuteInterval, or two processes would flood the network with them.
   bool onForeignIncarnation(Time now, Incarnation incarnation);
-  // This member has raised its incarnation above somebody's.
+  // This member has raised its incarnation above a received one.
   void onRefuted(Time now) { refuted_at_ = now; }
-  // Either sign was seen within the last 30 s.
+  // Whether a claimed number or a repeatedly raised foreign incarnation was seen in the last 30 s.
   bool detected(Time now) const { return now - std::max(foreign_at_, claimed_at_) < kDetectionHold; }
 
  private:
@@ -29,7 +29,7 @@
   static constexpr int kRaisesOfRunningProcess = 3;
 
   std::uint16_t foreign_nonce_ = 0;
-  int foreign_raises_ = 0;  // by that life, one after the other
+  int foreign_raises_ = 0;  // consecutive, with that nonce
   Time refuted_at_ = kLongAgo, foreign_at_ = kLongAgo, claimed_at_ = kLongAgo;
 };
 
--- a/src/fleet/include/fleet/fleet.h
+++ b/src/fleet/include/fleet/fleet.h
@@ -1,9 +1,9 @@
-// One member's part in the membership protocol: datagrams and the time in, datagrams and changes out. SWIM
-// (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-// Protocol") with suspicion, Lifeguard's local health, and anti-entropy by digests. No I/O, no clock. Why it
-// was chosen: docs/design-fleet.md.
+// State machine of one member in the membership protocol: takes datagrams and the time, returns datagrams and
+// changes. Implements SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
+// Group Membership Protocol") with suspicion, Lifeguard's local health, and anti-entropy by digests. No I/O,
+// no clock. Design rationale: docs/design-fleet.md.
 //
-// The class is implemented by subject: fleet.cpp (list of members, timers), failure_detection.cpp,
+// The implementation is split by subject: fleet.cpp (list of members, timers), failure_detection.cpp,
 // dissemination.cpp, anti_entropy.cpp, receiving.cpp, view.cpp.
 #pragma once
 
@@ -29,41 +29,44 @@
 
 namespace client_proxy::fleet {
 
+// Protocol parameters.
 struct Settings {
   Number self = 0;
-  std::uint64_t fleet = 0;                    // fleetSeed() of its name
+  std::uint64_t fleet = 0;                    // fleetSeed() of the fleet's name
   Time probe_interval = 500 * kMillisecond;   // between two probes
-  Time probe_timeout = 200 * kMillisecond;    // for a direct probe, before indirect ones are asked for
-  std::size_t helpers = 3;                    // members that are asked for an indirect probe
-  Time min_suspicion = 700 * kMillisecond;    // the least, for each power of ten of members; 0: none
-  double max_suspicion_factor = 4;            // the most, in multiples of the least
+  Time probe_timeout = 200 * kMillisecond;    // of a direct probe; indirect probes follow
+  std::size_t helpers = 3;                    // members asked to probe indirectly
+  Time min_suspicion = 700 * kMillisecond;    // times log10(members); 0: dead without suspicion
+  double max_suspicion_factor = 4;            // longest suspicion as a multiple of the shortest
   Time gossip_interval = 100 * kMillisecond;  // between two rounds of gossip
-  std::size_t gossip_fanout = 3;              // members in a round
-  // A dead member is pinged so often by all others together; kNever: not at all.
+  std::size_t gossip_fanout = 3;              // members addressed in a round
+  // Interval at which all live members together ping each dead member; kNever: never.
   Time dead_ping_interval = kSecond;
-  // What may be sent, but for probes and their answers, which are never held back. The burst lets a member
-  // learn of all others when all start at once, so it grows with the list where that is long.
+  // Send budget. Probes and their replies spend it too, but are never held back. When all members start at
+  // once the burst lets each learn of all others, so it grows with the length of long lists.
   double bytes_per_second = 1900, burst_bytes = 32'000, burst_bytes_per_member = 48;
   std::uint8_t newest = kNewestVersion;
-  bool refute_suspicion = true;  // false only in tests that show what incarnations are for
+  bool refute_suspicion = true;  // false only in tests of what incarnations prevent
 };
 
+// An encoded datagram to be sent to a member.
 struct Datagram {
   Number to = 0;
   std::string bytes;
 };
-// Another package's payload, from one member to another: delivered once, late or never.
+// Another package's payload from one member to another; it may arrive late or never.
 struct ApplicationMessage {
   Number from = 0;
   std::string bytes;
 };
+// What a call has produced.
 struct Out {
   std::vector<Datagram> datagrams;
-  std::vector<ApplicationMessage> messages;  // that have arrived
+  std::vector<ApplicationMessage> messages;  // received
   std::vector<Change> changes;
 };
 
-// What the next process of this member starts from.
+// State handed to the next process of this member.
 struct MembershipSnapshot {
   struct Known {
     Number number = 0;
@@ -72,48 +75,50 @@
     std::string facts;
   };
   Incarnation incarnation = 0;
-  std::uint32_t record = 0;  // sequence of its own record
+  std::uint32_t record = 0;  // sequence of this member's own record
   std::vector<Known> members;
 };
 
-// Datagrams that were dropped, by cause.
+// Number of dropped datagrams, by cause.
 struct Drops {
   std::uint64_t too_short = 0, too_long = 0, foreign = 0, version = 0, checksum = 0, malformed = 0;
-  std::uint64_t unknown_sender = 0;  // from an address that is no member's; counted by the transport
-  std::uint64_t misaddressed = 0;    // not for this member, or not from the one whose address it came from
+  std::uint64_t unknown_sender = 0;  // from an address of no member; counted by the transport
+  std::uint64_t misaddressed = 0;    // wrong receiver, or sender and source address differ
   void count(Fault fault);
 };
 
+// All times are of the caller's steady clock and must not decrease. Every call with an `out` appends to it.
 class Fleet {
  public:
-  // `self` is among `members`. `first`: this process's incarnation. Throws std::invalid_argument.
+  // `first` is this process's initial incarnation. Throws std::invalid_argument if `self` is not in `members`
+  // or a number is repeated.
   Fleet(const Settings& settings, const std::vector<Listed>& members, Incarnation first, std::uint64_t seed);
 
-  // Before start(): continues with the view and the incarnation of the process before this one.
-  void restore(const MembershipSnapshot& remembered, Time now);
+  // To be called before start(): continues with the view and the incarnation of the previous process.
+  void restore(const MembershipSnapshot& previous, Time now);
   MembershipSnapshot snapshot() const;
 
   void start(Time now, Out& out);
-  // `from`: whose listed address it came from.
+  // `from` is the member whose listed address the datagram was sent from.
   void receive(Time now, Number from, std::string_view datagram, Out& out);
-  // Wanted at due(), and after each other call again.
+  // To be called at due(), which may change with every other call.
   void onTime(Time now, Out& out);
   Time due() const { return due_; }
-  // Tells some members, who pass it on. From then on this member only answers.
+  // Announces to some members, which gossip it, that this member leaves. It then only replies.
   void leave(Time now, Out& out);
-  // Replaces the list of members; `self` must be on it. Throws std::invalid_argument and changes nothing
-  // then.
+  // Replaces the list of members. Throws std::invalid_argument, and changes nothing, if `self` is missing or
+  // a number is repeated.
   void setMembers(Time now, const std::vector<Listed>& members);
-  // Sets this member's own record. Records that are not urgent are sent at most once in 0.2 s for each live
-  // member, so that those of all members together fit the room that datagrams have left; urgent ones spread
-  // as fast as deaths.
+  // Sets this member's own record. Records that are not urgent are published at most once per 0.2 s times the
+  // number of live members, so that the records of all members fit the space left in datagrams. Urgent ones
+  // spread as fast as deaths.
   void setFacts(Time now, const Facts& facts, bool urgent = false);
-  // At most kMaxApplicationPayload bytes, in a datagram of its own. False: too long, or there is no such
-  // member.
+  // Sends at most kMaxApplicationPayload bytes in a separate datagram. Returns false if `bytes` is longer or
+  // `to` is this member or not listed.
   bool sendMessage(Time now, Number to, std::string bytes, Out& out);
-  // Sends nothing until then: another process may be about to take over this number.
+  // Sends nothing before `until`: another process may be about to take over this number.
   void suspendSending(Time now, Time until);
-  // A datagram that claims this member's number came from elsewhere.
+  // A datagram with this member's number as its sender arrived from an address that is not listed.
   void onClaimed(Time now) { duplicate_.onClaimed(now); }
 
   View view(Time now) const;
@@ -122,23 +127,23 @@
   Incarnation incarnation() const { return self().standing.incarnation; }
   const Drops& drops() const { return drops_; }
   const LocalHealth& health() const { return health_; }
-  std::uint64_t refuted() const { return refuted_; }  // suspicions of this member
-  // Another process holds this member's number.
+  std::uint64_t refuted() const { return refuted_; }  // refuted suspicions of this member
+  // Whether another process uses this member's number, see DuplicateNumber.
   bool duplicateDetected(Time now) const;
 
  private:
   struct Probe {
     std::size_t slot = 0;
     std::uint32_t sequence = 0;
-    Time timeout = 0;    // when helpers are asked
-    Time resend_at = 0;  // when the target is pinged anew
+    Time timeout = 0;    // when indirect probes are requested
+    Time resend_at = 0;  // when the target is pinged again
     Time end = 0;        // when the probe has failed
     bool indirect_sent = false, answered = false;
     std::size_t helpers = 0, nacks = 0;
   };
   struct Relay {  // an indirect probe on behalf of another member
     Number requester = 0, subject = 0;
-    std::uint32_t request_sequence = 0;  // the requester's sequence
+    std::uint32_t request_sequence = 0;  // of the requester's probe
     Time nack_at = 0;
   };
 
@@ -193,8 +198,8 @@
   void refute(Time now, const Standing& standing, Out& out);
   void updateStanding(Time now, std::size_t slot, const Standing& standing, Number by, Out& out);
 
-  static constexpr Time kJoinInterval = 100 * kMillisecond;     // between tries until a first member answers
-  static constexpr Time kCompareRecordsInterval = 5 * kSecond;  // with one member by chance
+  static constexpr Time kJoinInterval = 100 * kMillisecond;     // between pings until a first member replies
+  static constexpr Time kCompareRecordsInterval = 5 * kSecond;  // with one random member
 
   Settings settings_;
   Roster roster_;
@@ -213,15 +218,15 @@
   std::map<std::uint32_t, Relay> relays_;  // by our own sequence
 
   bool started_ = false, leaving_ = false;
-  bool restored_ = false;  // the view was taken over from the process before this one
-  Time clock_ = 0;         // of the last call
+  bool restored_ = false;  // the view was restored from the previous process
+  Time clock_ = 0;         // time of the last call
   Time due_ = kNever, started_at_ = 0;
-  Time next_probe_at_ = 0, next_gossip_at_ = 0;  // the next of each
+  Time next_probe_at_ = 0, next_gossip_at_ = 0;  // times of the next ones
   Time compare_records_at_ = 0, compare_standings_at_ = kLongAgo;
   Time changed_at_ = 0, agreed_at_ = kLongAgo, paused_at_ = kLongAgo, sending_suspended_until_ = kLongAgo;
   Time unreachable_pinged_at_ = 0;
-  double unreachable_jitter_ = 1;           // of the time until the next try
-  std::optional<std::string> unpublished_;  // this member's own record, not sent yet
+  double unreachable_jitter_ = 1;           // factor of the time until the next ping
+  std::optional<std::string> unpublished_;  // this member's own record, not published yet
   Time published_at_ = kLongAgo;
 };
 
--- a/src/fleet/include/fleet/gossip_queue.h
+++ b/src/fleet/include/fleet/gossip_queue.h
@@ -1,4 +1,4 @@
-// What a member still has to pass on, and how it shares the room of a datagram. No I/O, no clock.
+// Updates that a member still has to gossip, and how they share the space of a datagram. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,37 +10,37 @@
 
 namespace client_proxy::fleet {
 
-// What a member is said to be, as it goes into a datagram.
+// A member's standing as a datagram item.
 Rumour rumourOf(const Member& member);
 
-// Standings (rumours) and records, each sent a limited number of times. How often is kept in the roster, by
-// slot; this holds the slots that have something left.
+// Standings (rumours) and records, each sent a limited number of times. The roster holds the remaining number
+// of sends of each member; this class holds the slots that have any left.
 class GossipQueue {
  public:
-  // After the list of members has changed, and slots with it.
+  // Must be called after the list of members, and so the slots, have changed.
   void rebuild(const Roster& roster);
 
-  // A standing is new: it is sent as often as it takes to reach all by chance, 4 log10(live) times.
+  // Queues a new standing for 4 log10(live) sends, enough to reach all members with high probability.
   void addStanding(Roster& roster, std::size_t slot);
-  // A record is new. Urgent ones go as often as standings; what the others miss is found by digests.
+  // Queues a new record. Urgent ones are sent as often as standings; anti-entropy repairs missed ones.
   void addRecord(Roster& roster, std::size_t slot, bool urgent);
-  // Somebody else passes on the same standing: it needs to be sent less often from here.
+  // The same standing was received from another member, so fewer sends are needed from here.
   void receivedAgain(Member& member) const;
 
-  // Something is to be sent in the next round of gossip, without waiting for another datagram to carry it.
+  // Whether a round of gossip is needed now, instead of waiting for other datagrams to carry the updates.
   bool needsRound() const { return !standings_.empty() || urgent_; }
   void roundEnded(const Roster& roster);
 
-  // Fills a datagram for the member in slot `to`: first its own standing, if it has something to refute, then
-  // other standings, then records. Those that were sent least often go first.
+  // Fills a datagram for the member in slot `to`: first the receiver's own standing if it has to refute it,
+  // then other standings, then records. Updates with the most sends left go first.
   void fill(Writer& writer, Roster& roster, std::size_t to, bool with_records, load_balancer::Random& random);
 
  private:
   static int sendsPerUpdate(const Roster& roster);
   int sendCost() const;
 
-  std::vector<std::size_t> standings_, records_;  // slots, in no order
-  bool urgent_ = false;                           // one of the records is
+  std::vector<std::size_t> standings_, records_;  // slots, unordered
+  bool urgent_ = false;                           // whether any queued record is
 };
 
 }  // namespace client_proxy::fleet
--- a/src/fleet/include/fleet/probe_order.h
+++ b/src/fleet/include/fleet/probe_order.h
@@ -1,4 +1,4 @@
-// Which member is probed next: round robin over a shuffled list, as in SWIM. No I/O, no clock.
+// Selects the member to probe next: round robin over a shuffled list, as in SWIM. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,13 @@
 
 namespace client_proxy::fleet {
 
-// Every live member is probed once before any is probed again, so a failure is found within a bounded number
-// of periods.
+// Every live member is probed once before any is probed again, so a failure is detected within a bounded
+// number of probe intervals.
 class ProbeOrder {
  public:
-  // Slot of the next live member; nothing if no other member is live.
+  // Slot of the next live member, or nothing if no other member is live.
   std::optional<std::size_t> next(const Roster& roster, Number self, load_balancer::Random& random);
-  // Begins a new round: the list of members has changed.
+  // Starts a new round. To be called when the list of members has changed.
   void reset() { order_.clear(); }
 
  private:
--- a/src/fleet/include/fleet/roster.h
+++ b/src/fleet/include/fleet/roster.h
@@ -1,4 +1,5 @@
-// The listed members and what is known of each: merged in any order to the same. No I/O, no clock.
+// The listed members and the known state of each. Merging is independent of order and repetition. No I/O, no
+// clock.
 #pragma once
 
 #include <cstddef>
@@ -12,61 +13,67 @@
 
 namespace client_proxy::fleet {
 
-// A member as the list of members names it.
+// A member as configured in the list of members.
 struct Listed {
   Number number = 0;
-  std::string zone{}, region{};  // empty: the member's own record says it, if anything does
+  std::string zone{}, region{};  // empty: taken from the member's own record, if set there
 };
 
+// A listed member and what is known of it.
 struct Member {
   Listed listed;
   Standing standing;
-  Time since = 0;                // of its state
-  Time last_contact = kLongAgo;  // the last datagram of its own that came here
-  Time last_live_at = kLongAgo;  // when it was last held for live
+  Time since = 0;                // time of the last change of state
+  Time last_contact = kLongAgo;  // when a datagram from it was last received
+  Time last_live_at = kLongAgo;  // when its state last changed from live to not live
   RecordVersion version;
-  std::string facts;        // as its owner wrote them
-  std::uint8_t newest = 1;  // version of datagrams that it reads
+  std::string facts;        // encoded, as published by the member
+  std::uint8_t newest = 1;  // newest datagram version that it reads
 
-  // While it is a suspect.
-  std::vector<Number> accusers;  // without repeats, the first kMaxAccusers
+  // Valid while it is a suspect: since when, and by which members.
+  std::vector<Number> accusers;  // distinct, the first kMaxAccusers
   Time suspected_at = 0;
 
-  // How often each is still to be passed on.
+  // How many more times each is gossiped.
   int standing_sends_left = 0, record_sends_left = 0;
   bool urgent = false;  // of the record
 };
 constexpr std::size_t kMaxAccusers = 4;
 
-// Members whose numbers share all but the last four bits are a block: what two views are compared by.
+// Anti-entropy compares views block by block. A block holds the members whose numbers differ only in the last
+// four bits.
 constexpr Number kBlockSize = 16;
 constexpr std::uint16_t blockOf(Number n) { return n / kBlockSize; }
 
+// Members are kept sorted by number; a slot is an index into this order, valid until setMembers().
 class Roster {
  public:
-  // Members of the same number keep what is known of them; those no longer listed are forgotten.
+  // Replaces the list. Members that stay keep their state, those no longer listed are removed.
   void setMembers(const std::vector<Listed>& members);
 
   std::size_t size() const { return members_.size(); }
   Member& at(std::size_t slot) { return members_[slot]; }
   const Member& at(std::size_t slot) const { return members_[slot]; }
-  const std::vector<Member>& all() const { return members_; }  // by number
+  const std::vector<Member>& all() const { return members_; }  // sorted by number
   std::optional<std::size_t> find(Number number) const;
 
-  // Takes what is greater than what is known. True: it was.
+  // Stores the standing if it is greater than the known one, and returns whether it was.
   bool merge(std::size_t slot, const Standing& standing, Time now);
-  // Whatever was known.
+  // Stores the standing unconditionally.
   void set(std::size_t slot, const Standing& standing, Time now);
+  // Stores the record if its version is greater than the known one, and returns whether it was.
   bool merge(std::size_t slot, const RecordVersion& version, std::string_view facts);
 
   std::size_t count(State state) const { return counts_[static_cast<std::size_t>(state)]; }
+  // Number of members that are alive or suspect.
   std::size_t live() const { return count(State::Alive) + count(State::Suspect); }
-  // Equal where two views hold the same of every member that was heard of, but for suspicions.
+  // Hash of all known standings, without suspicions: views with the same standings have equal hashes.
   std::uint32_t hash() const { return static_cast<std::uint32_t>(hash_ ^ (hash_ >> 32)); }
 
-  // Blocks from 0 to the last one that a listed member lies in.
+  // Number of blocks, up to the last one with a listed member.
   std::uint16_t blocks() const;
   std::span<const Member> membersOf(std::uint16_t block) const;
+  // Hash of the standings, or of the record versions, of a block's members.
   std::uint32_t standingsHash(std::uint16_t block) const;
   std::uint32_t recordsHash(std::uint16_t block) const;
 
--- a/src/fleet/include/fleet/shuffle.h
+++ b/src/fleet/include/fleet/shuffle.h
@@ -1,4 +1,5 @@
-// Fisher-Yates shuffle with the project's own generator, so that a seed gives the same order everywhere.
+// Fisher-Yates shuffle with the project's own generator, so that a seed gives the same order on all
+// platforms.
 #pragma once
 
 #include <cstddef>
--- a/src/fleet/include/fleet/suspicion.h
+++ b/src/fleet/include/fleet/suspicion.h
@@ -1,6 +1,5 @@
-// How long an accusation stands before it is believed, and how far one's own accusations are to be trusted.
-// After "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips, Currey).
-// No I/O, no clock.
+// Suspicion timeouts and the local health multiplier of Lifeguard. After "Lifeguard: Local Health Awareness
+// for More Accurate Failure Detection" (Dadgar, Phillips, Currey). No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -11,8 +10,9 @@
 
 namespace client_proxy::fleet {
 
-// The suspect has `most` where one member accuses it, and as little as `least` when several did apart from
-// one another: they can't all be the slow ones.
+// Time that a suspect has to refute before it is declared dead: `most` with one accuser, shrinking
+// logarithmically to `least` once more than `enough` members accuse it independently, since they are unlikely
+// to be all slow themselves.
 inline Time suspicionTime(Time least, Time most, std::size_t accusers, std::size_t enough) {
   if (accusers == 0) return most;
   if (accusers > enough || enough == 0) return least;
@@ -20,13 +20,16 @@
   return std::max(least, most - static_cast<Time>(static_cast<double>(most - least) * part));
 }
 
-// Who was late itself, or was accused and lives, waits longer before it accuses others.
+// A member whose own probes fail, or that has refuted a suspicion, may itself be slow or cut off, and
+// therefore waits longer before it accuses others.
 class LocalHealth {
  public:
   static constexpr int kMaxScore = 4;
   void improve() { score_ = std::max(0, score_ - 1); }
   void degrade(int by = 1) { score_ = std::min(kMaxScore, score_ + by); }
+  // 0: healthy, up to kMaxScore.
   int score() const { return score_; }
+  // A timeout multiplied according to the score.
   Time scaled(Time time) const { return time * (1 + score_); }
 
  private:
--- a/src/fleet/include/fleet/wire.h
+++ b/src/fleet/include/fleet/wire.h
@@ -1,9 +1,9 @@
-// One datagram between members: a header, then items of a tag, a length and a value. No I/O, no clock.
+// Wire format of a datagram between members: a header, then items of tag, length and value. No I/O, no clock.
 //
-// Bytes, least significant first: magic 2, version 1, the newest version that the sender reads 1, checksum 4
-// (of all else, XXH3 with the fleet's seed), kind 1, spare 1, from 2, to 2, the sender's incarnation
-// 8, sequence 4, hash of its view 4. An item of an unknown tag is passed over, so that a later program can
-// say more without another version.
+// The header, little-endian, sizes in bytes: magic 2, version 1, newest version that the sender reads 1,
+// checksum 4 (XXH3 of all other bytes, with the fleet's seed), kind 1, reserved 1, from 2, to 2, sender's
+// incarnation 8, sequence 4, hash of the sender's view 4. Items with an unknown tag are skipped, so that
+// later programs can add items without a new version.
 #pragma once
 
 #include <cstddef>
@@ -17,19 +17,20 @@
 
 namespace client_proxy::fleet {
 
-constexpr std::size_t kMostDatagram = 256;  // by the protocol
-constexpr std::size_t kHeader = 30;
+constexpr std::size_t kMostDatagram = 256;  // bytes, including the header
+constexpr std::size_t kHeader = 30;         // bytes
 constexpr std::uint8_t kOldestVersion = 1, kNewestVersion = 1;
 
 enum class Kind : std::uint8_t {
-  Ping = 1,      // are you there?
-  Ack,           // yes; to a ping's sequence
-  IndirectPing,  // ask the subject for me
-  IndirectAck,   // the subject answers
-  Nack,          // it does not answer me either
-  Gossip,        // news and nothing else
+  Ping = 1,      // direct or relayed probe
+  Ack,           // reply to a ping, with its sequence
+  IndirectPing,  // asks the receiver to ping the subject on the sender's behalf
+  IndirectAck,   // reply to IndirectPing: the subject has replied
+  Nack,          // reply to IndirectPing: the subject has not replied in time
+  Gossip,        // carries items only
 };
 
+// `from` and `to` are member numbers, `view` is the hash of the sender's view (Roster::hash()).
 struct Header {
   Kind kind = Kind::Gossip;
   Number from = 0, to = 0;
@@ -38,40 +39,49 @@
   std::uint8_t version = kOldestVersion, newest = kNewestVersion;
 };
 
-// Items.
-struct Subject {  // of IndirectPing, IndirectAck, Nack
+// Items of a datagram.
+
+// The member that an IndirectPing, IndirectAck or Nack is about.
+struct Subject {
   Number member = 0;
 };
+// A member's standing.
 struct Rumour {
   Number member = 0;
   Standing standing{};
-  Number by = 0;  // of a Suspect: who accuses it
+  Number by = 0;  // of a Suspect: the member that accuses it
 };
+// A member's facts, as published by it.
 struct Record {
   Number member = 0;
   RecordVersion version{};
-  bool urgent = false;  // to be passed on as fast as rumours
+  bool urgent = false;  // gossiped as fast as rumours
   std::string facts{};
 };
-struct Digest {  // a hash for each block from `first` on
+// One hash for each block of members, from block `first` on.
+struct Digest {
   enum class Of : std::uint8_t { Standings, Records };
   std::uint16_t first = 0;
   Of of = Of::Standings;
   std::vector<std::uint32_t> hashes{};
 };
-struct Block {  // the rumours of this datagram are all that the sender knows of a block
+// Marks a datagram whose rumours are all that the sender knows of a block.
+struct Block {
   std::uint16_t block = 0;
-  bool reply_requested = false;  // what the other knows better
+  bool reply_requested = false;  // the receiver sends back standings that are newer there
 };
-struct Held {  // the record of a member that the sender has
+// The version of a member's record that the sender holds.
+struct Held {
   Number member = 0;
   RecordVersion version{};
-  bool reply_requested = false;  // the record itself, if the other has that one or a newer
+  bool reply_requested = false;  // the receiver sends its record if it is newer
 };
-struct ApplicationPayload {  // another part's words, kept as they came
+// Another package's message, not interpreted here.
+struct ApplicationPayload {
   std::string bytes{};
 };
 using Item = std::variant<Subject, Rumour, Record, Digest, Block, Held, ApplicationPayload>;
+// Bytes: what a datagram leaves after its header and the item's tag and length.
 constexpr std::size_t kMaxApplicationPayload = kMostDatagram - kHeader - 2;
 
 struct Message {
@@ -79,39 +89,41 @@
   std::vector<Item> items;
 };
 
-// Why a datagram was not read.
+// Why a datagram was rejected. Foreign: its magic number is not this protocol's. Version: not supported here.
 enum class Fault : std::uint8_t { None, Short, Long, Foreign, Version, Checksum, Malformed };
 
+// Encodes one datagram.
 class Writer {
  public:
-  // `fleet`: seeds the checksum, so that another fleet's datagrams are not ours.
+  // `fleet` seeds the checksum (fleetSeed()), so that datagrams of another fleet are rejected.
   Writer(const Header& header, std::uint64_t fleet);
-  // False: it does not fit any more, and was not added.
+  // Returns false, and adds nothing, if the item does not fit.
   bool add(const Item& item);
+  // Bytes left.
   std::size_t room() const { return kMostDatagram - bytes_.size(); }
-  // The datagram; nothing may be added after it.
+  // Returns the datagram with its checksum. The writer must not be used afterwards.
   std::string finish();
 
  private:
   std::string bytes_;
   std::uint64_t fleet_;
-  std::size_t rumours_begin_ = 0;  // where the item begins that further rumours join; 0: none
+  std::size_t rumours_begin_ = 0;  // offset of the item that consecutive rumours are appended to; 0: none
 };
 
 struct Decoded {
   Fault fault = Fault::None;
   Message message{};
 };
-// `newest`: the newest version that is read.
+// Parses a datagram; `newest` is the newest supported version. On a fault the message is incomplete.
 Decoded decode(std::string_view datagram, std::uint64_t fleet, std::uint8_t newest = kNewestVersion);
 
-// The same datagram with the checksum that belongs to its bytes.
+// Returns the datagram with its checksum field recomputed.
 std::string sealed(std::string datagram, std::uint64_t fleet);
 
-// A fleet's seed, by its name.
+// Checksum seed of the fleet with this name.
 std::uint64_t fleetSeed(std::string_view name);
-// Of one member's standing or record, for hashes of views and blocks: these are the exclusive or of their
-// members', so that one change costs one step.
+// Hash of one member's standing or record version; 0 if nothing is known. Hashes of views and blocks are the
+// XOR of their members' hashes, so that one change is one update.
 std::uint64_t hashOf(Number member, const Standing& standing);
 std::uint64_t hashOf(Number member, const RecordVersion& version);
 
--- a/src/fleet/receiving.cpp
+++ b/src/fleet/receiving.cpp
@@ -1,4 +1,4 @@
-// Datagrams that arrive: what they say is merged into the roster, and answered.
+// Handling of received datagrams: their items are merged into the roster, and requests are answered.
 #include <algorithm>
 #include <utility>
 
@@ -38,7 +38,7 @@
   schedule(now);
 }
 
-// Any datagram of a member shows that it is there, whatever it says.
+// Any datagram from a member proves that it is alive.
 void Fleet::onContact(Time now, std::size_t slot, const Header& header, Out& out) {
   Member& m = roster_.at(slot);
   m.last_contact = now;
@@ -50,7 +50,7 @@
 
 void Fleet::reply(Time now, std::size_t slot, const Message& message, Out& out) {
   const Header& header = message.header;
-  // A suspect has to learn of it to refute it; the answer to a ping tells it anyway.
+  // A suspect must learn of the suspicion to refute it; the reply to a ping includes it anyway.
   const bool must_know = roster_.at(slot).standing.state > State::Alive && !leaving_;
   switch (header.kind) {
     case Kind::Ping:
@@ -99,7 +99,7 @@
       gossip_queue_.addRecord(roster_, *slot, record.urgent);
     return;
   }
-  // The process before this one wrote it, by a clock that was ahead: ours has to come after it.
+  // Written by the previous process, whose clock was ahead: this member's record must supersede it.
   if (record.version <= self().version || unpublished_ || leaving_) return;
   refute(now, {record.version.incarnation, State::Alive}, out);
   unpublished_ = self().facts;
@@ -115,8 +115,8 @@
   updateStanding(now, *slot, rumour.standing, rumour.by, out);
 }
 
-// A standing of this member that somebody has told. Only the member itself may say that it lives, which it
-// does at a higher incarnation than any that others have heard.
+// Handles a received standing of this member. Only the member itself may declare itself alive again, at a
+// higher incarnation than any that others have received.
 void Fleet::refute(Time now, const Standing& standing, Out& out) {
   if (leaving_ || standing <= self().standing || !settings_.refute_suspicion) return;
   const Incarnation own = incarnation();
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -1,4 +1,4 @@
-// The view of the fleet for those who decide by it, and how far it can be relied on.
+// Builds the view of the fleet for other packages and decides whether it is reliable.
 #include <utility>
 
 #include "fleet/fleet.h"
@@ -6,10 +6,10 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr Time kSettleTime = 2 * kSecond;       // since the start or a pause
-constexpr Time kAgreementWindow = 3 * kSecond;  // another member held the same view
-constexpr Time kRecentlyLive = 60 * kSecond;    // a dead member counts as one that was live of late
-constexpr int kDegradedScore = 3;               // LocalHealth::score() from which on
+constexpr Time kSettleTime = 2 * kSecond;       // after the start or a pause
+constexpr Time kAgreementWindow = 3 * kSecond;  // since another member reported the same view
+constexpr Time kRecentlyLive = 60 * kSecond;    // how long a dead member counts as recently live
+constexpr int kDegradedScore = 3;               // LocalHealth::score() from which on the view is doubtful
 
 }  // namespace
 
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -11,22 +11,23 @@
 namespace {
 
 constexpr std::uint16_t kMagic = 0xB17D;
-constexpr std::size_t kChecked = 8;  // where the checksum's part begins
+constexpr std::size_t kChecked = 8;  // offset of the bytes covered by the checksum
 
 // Tags of items.
 constexpr std::uint8_t kSubject = 1, kRumours = 2, kRecord = 3, kDigest = 4, kBlock = 5, kHeld = 6,
                        kCarried = 7;
 
-// No time of this century fills an incarnation's highest bits: they hold a rumour's state.
+// An incarnation's highest bits are zero for all times of this century; in a rumour they hold the state.
 constexpr unsigned kStateShift = 61;
 
-// Of all but its own four bytes: what stands before them goes into the seed.
+// Covers all bytes but the checksum itself: the four bytes before it are mixed into the seed.
 std::uint32_t checksumOf(std::string_view datagram, std::uint64_t fleet) {
   const std::uint64_t seed = fleet ^ static_cast<std::uint64_t>(Reader(datagram).get<std::uint32_t>()) << 32;
   const std::string_view rest = datagram.substr(kChecked);
   return static_cast<std::uint32_t>(XXH3_64bits_withSeed(rest.data(), rest.size(), seed));
 }
 
+// Appends an item's value to `out` and returns its tag.
 struct Encoder {
   std::string& out;
   std::uint8_t operator()(const Subject& s) const {
@@ -71,7 +72,7 @@
   }
 };
 
-// Each reads the items of one tag. False: malformed.
+// Each function decodes the items of one tag, and returns false if they are malformed.
 bool readRumours(Reader& in, std::vector<Item>& items) {
   while (in.left() > 0) {
     Rumour rumour;
@@ -152,7 +153,7 @@
       items.emplace_back(ApplicationPayload{std::string(in.take(in.left()))});
       break;
     default:
-      return true;  // a later program's
+      return true;  // unknown tag, written by a later version
   }
   return valid && in.ok();
 }
@@ -239,7 +240,7 @@
 std::uint64_t fleetSeed(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
 std::uint64_t hashOf(Number member, const Standing& s) {
-  // A suspect counts as alive: accusations come and go faster than views are compared.
+  // A suspect counts as alive: suspicions come and go faster than views are compared.
   if (s.state == State::Unknown) return 0;
   const State state = s.state == State::Suspect ? State::Alive : s.state;
   return hashOfAll(member, s.incarnation, static_cast<std::uint8_t>(state));
--- a/src/fleet_transport/include/fleet_transport/membership_snapshot.h
+++ b/src/fleet_transport/include/fleet_transport/membership_snapshot.h
@@ -1,4 +1,4 @@
-// What one process of a member hands to the next, as text: docs/on-call.md tells of upgrades.
+// Text form of the state that one process of a member hands to the next. Upgrades: docs/on-call.md.
 #pragma once
 
 #include <string>
@@ -8,8 +8,9 @@
 
 namespace client_proxy::fleet_transport {
 
+// Encodes a snapshot as JSON.
 std::string toText(const fleet::MembershipSnapshot& snapshot);
-// Throws std::runtime_error with what is wrong; nothing of a text that is not whole is used.
+// Parses toText()'s output. Throws std::runtime_error if the text is incomplete or invalid.
 fleet::MembershipSnapshot snapshotFromText(std::string_view text);
 
 }  // namespace client_proxy::fleet_transport
--- a/src/fleet_transport/include/fleet_transport/udp_transport.h
+++ b/src/fleet_transport/include/fleet_transport/udp_transport.h
@@ -1,5 +1,5 @@
-// The one owner of the fleet's view in a process: its socket, its timer, and what staff are shown of it. What
-// is said, and what follows from what is heard, src/fleet decides.
+// Runs the membership protocol of src/fleet on a UDP socket: owns the state machine, its timers, and the
+// operators' page and metrics. Protocol decisions are made in src/fleet.
 #pragma once
 
 #include <array>
@@ -26,12 +26,12 @@
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  // As makeMembershipService().
+  // See makeMembershipService().
   UdpTransport(boost::asio::io_context& io, const Clock& clock, Log& log, FleetSettings settings,
                LocalNode& local);
   ~UdpTransport() override;
 
-  void start(const std::string& remembered) override;
+  void start(const std::string& previous_state) override;
   std::string handOn() override;
   void resume() override;
   void stop() override;
@@ -79,7 +79,7 @@
   Time armed_for_ = kNever;
   Endpoint sender_;
   std::array<char, fleet::kMostDatagram + 1>
-      buffer_{};  // one more: what is longer is told from what just fits
+      buffer_{};  // one more byte, to detect datagrams that are too long
   bool started_ = false, silent_ = false, duplicate_logged_ = false, retry_logged_ = false;
 
   std::uint64_t datagrams_in_ = 0, datagrams_out_ = 0, bytes_in_ = 0, bytes_out_ = 0, unknown_senders_ = 0,
--- a/src/fleet_transport/include/fleet_transport/zone_watch.h
+++ b/src/fleet_transport/include/fleet_transport/zone_watch.h
@@ -1,5 +1,5 @@
-// Carries what this proxy and the others have seen of zones to the verdicts of src/zone_health, and these
-// back to the decision module.
+// Feeds the zone observations of this proxy and of the other members to src/zone_health, and applies the
+// resulting zone states to the local load balancer.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +15,27 @@
 
 namespace client_proxy::fleet_transport {
 
+// update() is to be called periodically.
 class ZoneWatch {
  public:
-  // `zone`: this proxy's own. `local` and `log` must outlive it.
+  // `zone` is this proxy's own zone. `local` and `log` must outlive it.
   ZoneWatch(LocalNode& local, Log& log, fleet::Number self, std::string zone);
 
-  // What the record is to tell from now on.
+  // The zone report that this member's record has to contain from now on.
   struct Note {
     std::string bytes;
-    bool urgent = false;  // others wait for it
+    bool urgent = false;  // other members need it for a decision
   };
-  // Looks at what all have seen; gives orders where a verdict changes them. A note: it is another than
-  // before. `sure`: the view of the fleet may be relied on.
+  // Evaluates the observations of all members and applies directives that have changed. Returns the note if
+  // it has changed. `sure`: the view of the fleet is reliable.
   std::optional<Note> update(Time now, const fleet::Roster& roster, bool sure);
+  // The current encoded report.
   const std::string& note() const { return note_; }
   std::string page(Time now) const;            // JSON: docs/zones.md
-  std::vector<std::string> lostZones() const;  // by name
+  std::vector<std::string> lostZones() const;  // names of excluded zones, sorted
 
  private:
-  struct MemberReport {  // what a member told last
+  struct MemberReport {  // the last report of a member
     fleet::RecordVersion version;
     bool live = false;
     zone_health::ObserverReport report;
--- a/src/fleet_transport/membership_snapshot.cpp
+++ b/src/fleet_transport/membership_snapshot.cpp
@@ -13,7 +13,7 @@
 template <typename T>
 T readUnsigned(const json& value, std::uint64_t most = std::numeric_limits<T>::max()) {
   if (!value.is_number_unsigned() || value.get<std::uint64_t>() > most)
-    throw std::runtime_error("the fleet's view: no such number: " + value.dump());
+    throw std::runtime_error("fleet snapshot: number expected or out of range: " + value.dump());
   return value.get<T>();
 }
 
@@ -22,7 +22,7 @@
 std::string toText(const fleet::MembershipSnapshot& snapshot) {
   json members = json::array();
   for (const auto& m : snapshot.members) {
-    json facts = json::array();  // bytes: they need not be text
+    json facts = json::array();  // as bytes: they may not be valid UTF-8
     for (const char c : m.facts) facts.push_back(static_cast<std::uint8_t>(c));
     members.push_back({m.number, m.standing.incarnation, static_cast<unsigned>(m.standing.state),
                        m.version.incarnation, m.version.sequence, facts});
@@ -47,12 +47,12 @@
       known.version.sequence = readUnsigned<std::uint32_t>(m.at(4));
       for (const json& byte : m.at(5)) known.facts += static_cast<char>(readUnsigned<std::uint8_t>(byte));
       if (known.facts.size() > fleet::kMaxFactsBytes)
-        throw std::runtime_error("the fleet's view: a record is too long");
+        throw std::runtime_error("fleet snapshot: a record is too long");
       out.members.push_back(std::move(known));
     }
     return out;
   } catch (const json::exception& e) {
-    throw std::runtime_error(std::string("the fleet's view is not whole: ") + e.what());
+    throw std::runtime_error(std::string("fleet snapshot: invalid or incomplete: ") + e.what());
   }
 }
 
--- a/src/fleet_transport/udp_transport.cpp
+++ b/src/fleet_transport/udp_transport.cpp
@@ -19,15 +19,15 @@
 using fleet::Number;
 using fleet::State;
 
-constexpr std::uint16_t kProgramVersion = 1;  // grows with what a record's readers must tell apart
+constexpr std::uint16_t kProgramVersion = 1;  // increased if readers of records have to distinguish programs
 constexpr Time kFactsInterval = 2 * kSecond;
-constexpr double kTrafficWindow = 10;  // seconds over which it is averaged
-// A new process that asked for the view has taken over by then or never will; handover::Link::Limits gives it
-// less.
+constexpr double kTrafficWindow = 10;  // seconds that the request rate is averaged over
+// A new process that has requested the state takes over within this time or not at all:
+// hot_restart::Link::Limits is shorter.
 constexpr Time kHandoverPause = 3 * kSecond;
 constexpr std::chrono::milliseconds kReopenInterval{200};
 constexpr std::chrono::milliseconds kZonesInterval{100};
-constexpr std::size_t kMaxReadsPerTurn = 64;  // datagrams that are read before others have their turn
+constexpr std::size_t kMaxReadsPerTurn = 64;  // datagrams read before other handlers run
 
 fleet::Incarnation incarnationOf(const Clock& clock) {
   std::random_device random;
@@ -41,7 +41,7 @@
   return s;
 }
 
-// Whole milliseconds, in seconds.
+// Seconds, truncated to milliseconds.
 double secondsOf(Time time) {
   const Time milliseconds = time / kMillisecond;
   return static_cast<double>(milliseconds) / 1000;
@@ -103,15 +103,14 @@
   armTimer();
 }
 
-// ---- its life ----
+// ---- start and stop ----
 
-void UdpTransport::start(const std::string& remembered) {
-  if (!remembered.empty()) {
+void UdpTransport::start(const std::string& previous_state) {
+  if (!previous_state.empty()) {
     try {
-      fleet_->restore(snapshotFromText(remembered), clock_.now());
+      fleet_->restore(snapshotFromText(previous_state), clock_.now());
     } catch (const std::runtime_error& e) {
-      log_.line(std::string("fleet: what the process before this one knew is not used: ") + e.what(),
-                LogLevel::Warning);
+      log_.line(std::string("fleet: state of the previous process not used: ") + e.what(), LogLevel::Warning);
     }
   }
   started_ = true;
@@ -119,9 +118,9 @@
     open();
   } catch (const boost::system::system_error& e) {
     const std::string why =
-        "fleet: can't listen at " + addressText(settings_.listen) + ": " + e.code().message();
-    if (remembered.empty()) throw std::runtime_error(why);
-    retryOpen(why);  // the process before this one is about to let it go
+        "fleet: cannot listen on " + addressText(settings_.listen) + ": " + e.code().message();
+    if (previous_state.empty()) throw std::runtime_error(why);
+    retryOpen(why);  // the previous process is about to release the address
   }
   traffic_measured_at_ = clock_.now();
   last_admitted_ = local_.admitted();
@@ -143,7 +142,7 @@
 }
 
 void UdpTransport::retryOpen(const std::string& why) {
-  if (!std::exchange(retry_logged_, true)) log_.line(why + "; trying again", LogLevel::Warning);
+  if (!std::exchange(retry_logged_, true)) log_.line(why + "; retrying", LogLevel::Warning);
   reopen_timer_.expires_after(kReopenInterval);
   reopen_timer_.async_wait([this](error_code ec) {
     if (ec || silent_ || socket_.is_open()) return;
@@ -176,7 +175,7 @@
   try {
     open();
   } catch (const boost::system::system_error& e) {
-    retryOpen("fleet: can't listen at " + addressText(settings_.listen) + " again: " + e.code().message());
+    retryOpen("fleet: cannot listen on " + addressText(settings_.listen) + " again: " + e.code().message());
   }
   armTimer();
 }
@@ -185,7 +184,7 @@
   silent_ = true;
   reopen_timer_.cancel();
   protocol_timer_.cancel();
-  armed_for_ = kNever;  // resume() arms it anew
+  armed_for_ = kNever;  // resume() rearms it
   facts_timer_.cancel();
   error_code ignored;
   socket_.close(ignored);
@@ -213,7 +212,7 @@
     error_code failed;
     const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender_, 0, failed);
     if (failed == asio::error::would_block) break;
-    // A datagram of ours reached nobody (ICMP): its loss shows by itself.
+    // An error reports an undeliverable datagram of ours (ICMP); the protocol handles its loss.
     if (!failed) onDatagram(size);
   }
 }
@@ -225,7 +224,7 @@
   const std::string_view datagram(buffer_.data(), size);
   if (known == numbers_.end()) {
     ++unknown_senders_;
-    // Perhaps another process under this one's number, at an address that no list has.
+    // May be another process that uses this member's number, at an address that is not listed.
     const fleet::Decoded decoded = fleet::decode(datagram, fleet::fleetSeed(settings_.name));
     if (decoded.fault == fleet::Fault::None && decoded.message.header.from == settings_.number)
       fleet_->onClaimed(clock_.now());
@@ -252,14 +251,14 @@
   for (const fleet::Change& c : out.changes) {
     std::string line =
         "fleet: member " + std::to_string(c.member) + " is " + std::string(fleet::nameOf(c.is));
-    if (c.is == State::Suspect) line += ", says " + std::to_string(c.by);
+    if (c.is == State::Suspect) line += ", accused by " + std::to_string(c.by);
     log_.line(line);
   }
   if (const bool duplicate = fleet_->duplicateDetected(clock_.now()); duplicate != duplicate_logged_) {
     duplicate_logged_ = duplicate;
-    log_.line(duplicate ? "fleet: another process speaks as member " + std::to_string(settings_.number) +
-                              ": give each a number of its own"
-                        : "fleet: no other process speaks as this member any more",
+    log_.line(duplicate ? "fleet: another process uses member number " + std::to_string(settings_.number) +
+                              ": give each process its own number"
+                        : "fleet: no other process uses this member's number any more",
               LogLevel::Warning);
   }
   armTimer();
@@ -309,7 +308,7 @@
     armed_for_ = kNever;
     if (silent_) return;
     Output out;
-    // What waits in the socket came before this: it may say that whom we would accuse is there.
+    // Pending datagrams arrived before the timer: they may prove that a member about to be accused is alive.
     readPending();
     fleet_->onTime(clock_.now(), out);
     apply(out);
@@ -333,7 +332,7 @@
   });
 }
 
-// ---- what staff see ----
+// ---- facts, zones and operators' pages ----
 
 void UdpTransport::publishFacts(bool urgent) {
   fleet::Facts facts;
@@ -412,7 +411,8 @@
                         {"mistaken", d.misaddressed},
                         {"stranger", unknown_senders_}}},
                       {"members", members}}
-      .dump(2, ' ', false, ordered_json::error_handler_t::replace);  // a name is what some member wrote
+      .dump(2, ' ', false, ordered_json::error_handler_t::replace);  // names come from other members and may
+                                                                     // not be valid UTF-8
 }
 
 std::string UdpTransport::figures() const {
--- a/src/fleet_transport/zone_watch.cpp
+++ b/src/fleet_transport/zone_watch.cpp
@@ -18,16 +18,16 @@
 ZoneWatch::ZoneWatch(LocalNode& local, Log& log, fleet::Number self, std::string zone)
     : local_(local), log_(log), self_(self), zone_(std::move(zone)) {}
 
-// One that is not among the hosts' zones lies beside them all.
+// The number of zones, an index past the end, for a zone without hosts.
 std::size_t ZoneWatch::indexOf(const std::string& zone) const {
   return static_cast<std::size_t>(std::find(names_.begin(), names_.end(), zone) - names_.begin());
 }
 
 void ZoneWatch::observeZones(Time now) {
   std::vector<std::string> names = local_.zones();
-  std::sort(names.begin(), names.end());  // the first of several is the same one everywhere
+  std::sort(names.begin(), names.end());  // all members must number the zones alike
   if (names != names_ || !zone_health_) {
-    // Zones are numbered anew: verdicts come back from what the others tell, and orders with them.
+    // The zones are renumbered: states and directives are rebuilt from the reports of the other members.
     for (std::size_t z = 0; z < names_.size(); ++z) {
       if (directives_[z] != ZoneDirective::None) local_.setZone(names_[z], ZoneDirective::None);
     }
@@ -42,7 +42,7 @@
     zone_health_->observe(z, local_.seen(names_[z], now, zone_health_->since(z)));
 }
 
-// False: nobody has told anything new.
+// Reads the other members' reports. Returns whether anything has changed.
 bool ZoneWatch::readReports(const fleet::Roster& roster) {
   bool changed = member_reports_.size() != roster.size();
   member_reports_.resize(roster.size());
@@ -90,11 +90,11 @@
   return t;
 }
 
-// Others wait for the first words on a doubt, and for a verdict that nobody has told yet.
+// A report is urgent if it has a new observation, or a status that fewer than three other members report.
 bool ZoneWatch::isUrgent(const zone_health::ZoneReport& before, const zone_health::ZoneReport& after,
                          const std::vector<ObserverReport>& all) const {
   for (std::size_t z = 0; z < names_.size(); ++z) {
-    // No more say a thing than settle it: each of their words is waited for.
+    // Only as many members report an observation as the decision needs, so each of them is waited for.
     if (after.seen[z] != before.seen[z] && after.seen[z] != ZoneObservation::None) return true;
     const bool status = !(after.statuses[z] == before.statuses[z]);
     const auto same = std::count_if(all.begin(), all.end(), [&](const ObserverReport& w) {
@@ -107,15 +107,16 @@
 
 void ZoneWatch::applyDirectives(Time now, const std::vector<ObserverReport>& all, bool sure) {
   for (std::size_t z = 0; z < names_.size(); ++z) {
-    ZoneDirective wanted = ZoneDirective::None;
-    // Lost to the others is not lost to those inside, who see it best: it may be all that they have.
+    ZoneDirective directive = ZoneDirective::None;
+    // A member inside the zone observes it best, and its hosts may be the only ones that it reaches: it keeps
+    // using a zone that is lost to the others.
     if (z != indexOf(zone_) && !zone_health_->sendsTraffic(z, self_, now)) {
-      // Without a view to rely on nobody can tell who looks after the zone: each does.
+      // Without a reliable view it is unknown which members check the zone's health: each does.
       const bool checks =
           !sure || zone_health::ZoneHealthQuorum::checksHealth(z, zone_health_->status(z).epoch, self_, all);
-      wanted = checks ? ZoneDirective::EjectAndCheck : ZoneDirective::Eject;
+      directive = checks ? ZoneDirective::EjectAndCheck : ZoneDirective::Eject;
     }
-    if (std::exchange(directives_[z], wanted) != wanted) local_.setZone(names_[z], wanted);
+    if (std::exchange(directives_[z], directive) != directive) local_.setZone(names_[z], directive);
     const ZoneState state = zone_health_->state(z);
     if (std::exchange(logged_states_[z], state) == state) continue;
     log_.line("zone state changed zone=" + names_[z] + " state=" + std::string(zone_health::nameOf(state)) +
--- a/tests/fleet_bytes_test.cpp
+++ b/tests/fleet_bytes_test.cpp
@@ -1,4 +1,5 @@
-// What members really say, changed byte by byte: what must hold of any datagram and any view holds of these.
+// Checks the fuzz properties on real datagrams and snapshots, and on variants with one byte changed or cut
+// off.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,14 +11,14 @@
 namespace client_proxy::fleet {
 namespace {
 
-constexpr std::uint64_t kFleet = 7;  // of the properties
+constexpr std::uint64_t kFleet = 7;  // checksum seed of fuzz/fleet_property.cpp
 
-// One of each kind and size of what eight members say while one dies, another leaves and records change.
-std::vector<std::string> said() {
+// One datagram of each kind and size that eight of twelve listed members send, while one of them crashes.
+std::vector<std::string> sentDatagrams() {
   sim::World w(12, 3);
   w.settings.fleet = kFleet;
   std::map<std::pair<int, std::size_t>, std::string> kinds;
-  w.spy = [&](const std::string& bytes) {
+  w.on_datagram = [&](const std::string& bytes) {
     kinds[{static_cast<unsigned char>(bytes[8]), bytes.size() / 16}] = bytes;
   };
   for (std::size_t n = 0; n < 8; ++n) w.start(n);
@@ -29,8 +30,8 @@
   return all;
 }
 
-TEST(FleetBytes, WhatMustHoldOfAnyDatagramHoldsOfRealOnesAndTheirNeighbours) {
-  const std::vector<std::string> all = said();
+TEST(FleetBytes, DatagramPropertiesHoldForRealAndMutatedDatagrams) {
+  const std::vector<std::string> all = sentDatagrams();
   ASSERT_GE(all.size(), 8U);
   for (const std::string& bytes : all) {
     ASSERT_EQ(fuzz::brokenDatagram(bytes), "");
@@ -40,13 +41,13 @@
       for (const char other : {'\0', '\x7F', '\xFF', static_cast<char>(bytes[at] ^ 1)}) {
         std::string changed = bytes;
         changed[at] = other;
-        ASSERT_EQ(fuzz::brokenDatagram(changed), "") << "another byte at " << at;
+        ASSERT_EQ(fuzz::brokenDatagram(changed), "") << "changed byte at " << at;
       }
     }
   }
 }
 
-TEST(FleetBytes, WhatMustHoldOfAnyViewHoldsOfARealOneAndItsNeighbours) {
+TEST(FleetBytes, SnapshotPropertiesHoldForRealAndMutatedSnapshots) {
   sim::World w(6, 4);
   for (std::size_t n = 0; n < 5; ++n) w.start(n);
   w.runFor(5 * kSecond);
@@ -57,7 +58,7 @@
     for (const char other : {'9', '-', '[', '}', ' '}) {
       std::string changed = text;
       changed[at] = other;
-      ASSERT_EQ(fuzz::brokenView(changed), "") << "another byte at " << at;
+      ASSERT_EQ(fuzz::brokenView(changed), "") << "changed byte at " << at;
     }
   }
 }
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -1,5 +1,5 @@
-// Twelve processes of the program with faults between them. Everything waits for what staff would see on
-// their pages; the limit only ends a test that has failed.
+// Membership of twelve processes of the program, with process and network faults. The tests wait for what the
+// operators' pages show; the time limit only ends a test that has failed.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 #include <unistd.h>
@@ -23,9 +23,9 @@
     rig.startAll();
     ASSERT_TRUE(FleetRig::until([&] { return rig.agree(rig.all()); })) << rig.logs();
   }
-  std::set<std::size_t> but(const std::set<std::size_t>& gone) const {
+  std::set<std::size_t> allExcept(const std::set<std::size_t>& excluded) const {
     std::set<std::size_t> rest = rig.all();
-    for (const std::size_t n : gone) rest.erase(n);
+    for (const std::size_t n : excluded) rest.erase(n);
     return rest;
   }
   testing::AssertionResult agree(const std::set<std::size_t>& live) {
@@ -35,28 +35,28 @@
   FleetRig rig{CLIENT_PROXY_PROGRAM, kMembers, 11};
 };
 
-TEST_F(Processes, OneIsKilledThenAThirdAndAllComeBack) {
+TEST_F(Processes, KilledMembersAreDetectedAndReturn) {
   rig.kill(5);
-  ASSERT_TRUE(agree(but({5})));
+  ASSERT_TRUE(agree(allExcept({5})));
   EXPECT_EQ(rig.sees(0, 5), "dead");
   rig.start(5);
   ASSERT_TRUE(agree(rig.all()));
   for (const std::size_t n : {0U, 3U, 6U, 9U}) rig.kill(n);
-  ASSERT_TRUE(agree(but({0, 3, 6, 9})));
+  ASSERT_TRUE(agree(allExcept({0, 3, 6, 9})));
   for (const std::size_t n : {0U, 3U, 6U, 9U}) rig.start(n);
   ASSERT_TRUE(agree(rig.all()));
   EXPECT_TRUE(FleetRig::until([&] { return rig.page(7).at("sure") == true; })) << rig.page(7);
 }
 
-TEST_F(Processes, AFrozenOneIsThoughtDeadAndSaysOtherwiseWhenItWakes) {
+TEST_F(Processes, FrozenMemberIsDeclaredDeadAndRefutesAfterResuming) {
   rig.freeze(4);
-  ASSERT_TRUE(agree(but({4})));
+  ASSERT_TRUE(agree(allExcept({4})));
   rig.thaw(4);
   ASSERT_TRUE(agree(rig.all()));
   EXPECT_GE(rig.page(4).at("refuted").get<int>(), 1);
 }
 
-TEST_F(Processes, EightAgainstFourWithDeathLeaveAndReturnOnBothSides) {
+TEST_F(Processes, PartitionHealsAfterCrashLeaveAndReturn) {
   const std::set<std::size_t> many = {0, 1, 2, 3, 4, 5, 6, 7}, few = {8, 9, 10, 11};
   rig.relay().setCut([](auto a, auto b) { return (a < 8) != (b < 8); });
   ASSERT_TRUE(agree(many));
@@ -71,38 +71,38 @@
   rig.start(10);
   ASSERT_TRUE(agree(few));
   rig.relay().setCut({});
-  ASSERT_TRUE(agree(but({1})));
+  ASSERT_TRUE(agree(allExcept({1})));
 }
 
-TEST_F(Processes, ThreeIslandsAndAOneWayCut) {
+TEST_F(Processes, ThreeWayPartitionAndOneWayCutHeal) {
   rig.relay().setCut([](auto a, auto b) { return a % 3 != b % 3; });
   ASSERT_TRUE(agree({0, 3, 6, 9}));
   ASSERT_TRUE(agree({2, 5, 8, 11}));
-  // Before they have all healed, one can't be heard any more.
+  // Before the partition has healed, one member can no longer reach any other.
   rig.relay().setCut([](auto a, auto) { return a == 7; });
-  ASSERT_TRUE(agree(but({7})));
+  ASSERT_TRUE(agree(allExcept({7})));
   rig.relay().setCut({});
   ASSERT_TRUE(agree(rig.all()));
 }
 
-TEST_F(Processes, LossDelayAndDoublingKillNobodyAndADeathIsStillSeen) {
+TEST_F(Processes, CrashIsDetectedWithLossDelayAndDuplication) {
   rig.relay().setLink({.loss = 0.2,
                        .doubled = 0.1,
                        .least = std::chrono::milliseconds(1),
                        .most = std::chrono::milliseconds(40)});
   rig.kill(2);
   ASSERT_TRUE(FleetRig::until([&] {
-    for (const std::size_t n : but({2})) {
+    for (const std::size_t n : allExcept({2})) {
       if (rig.sees(n, 2) != "dead") return false;
     }
     return true;
   })) << rig.logs();
   rig.relay().setLink({});
-  ASSERT_TRUE(agree(but({2})));
+  ASSERT_TRUE(agree(allExcept({2})));
 }
 
-// A link that comes and goes by the second costs nobody its place for good.
-TEST_F(Processes, AFlappingLinkIsSettledWhenItStays) {
+// A member behind a flapping link is alive again in all views once the link is stable.
+TEST_F(Processes, ViewsConvergeOnceAFlappingLinkIsStable) {
   for (int i = 0; i < 6; ++i) {
     rig.relay().setCut([](auto a, auto b) { return a == 4 || b == 4; });
     ASSERT_TRUE(FleetRig::until([&] { return rig.sees(0, 4) != "alive"; }));
@@ -112,7 +112,7 @@
   ASSERT_TRUE(agree(rig.all()));
 }
 
-TEST_F(Processes, ADatagramOfALaterVersionIsCountedAndTheRestOfItsSendersAreRead) {
+TEST_F(Processes, DatagramOfUnsupportedVersionIsCountedAndOthersAreRead) {
   fleet::Header header;
   header.from = 1;
   header.version = fleet::kNewestVersion + 1;
@@ -125,7 +125,7 @@
   ASSERT_TRUE(agree(rig.all()));
 }
 
-TEST(ProcessesAtStart, HalfOfTheListIsDead) {
+TEST(ProcessesAtStart, ViewsConvergeWhenHalfOfTheListedMembersStartLater) {
   FleetRig rig(CLIENT_PROXY_PROGRAM, kMembers, 12);
   std::set<std::size_t> even;
   for (std::size_t n = 0; n < kMembers; n += 2) even.insert(n);
@@ -135,7 +135,7 @@
   ASSERT_TRUE(FleetRig::until([&] { return rig.agree(rig.all()); })) << rig.logs();
 }
 
-TEST_F(Processes, GarbageAndStrangersAreDroppedAndCounted) {
+TEST_F(Processes, RandomBytesAndUnknownSendersAreDroppedAndCounted) {
   load_balancer::Random random(3);
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes(random.below(400), '\0');
@@ -143,27 +143,27 @@
     rig.relay().inject(1, 0, bytes);
   }
   boost::asio::io_context io;
-  boost::asio::ip::udp::socket stranger(io, boost::asio::ip::udp::v4());
+  boost::asio::ip::udp::socket unlisted(io, boost::asio::ip::udp::v4());
   const auto counted = [&](const char* cause) { return rig.page(0).at("drops").at(cause).get<int>(); };
   ASSERT_TRUE(FleetRig::until([&] {
     boost::system::error_code ignored;
-    stranger.send_to(boost::asio::buffer("hello", 5), rig.listens(0), 0, ignored);
+    unlisted.send_to(boost::asio::buffer("hello", 5), rig.listens(0), 0, ignored);
     return counted("stranger") > 0 && counted("short") > 0 && counted("long") > 0 && counted("foreign") > 0;
   })) << rig.page(0);
   ASSERT_TRUE(agree(rig.all()));
 }
 
-TEST_F(Processes, ANumberUsedTwiceIsToldOnBoth) {
+TEST_F(Processes, DuplicateNumberIsReportedByBothProcesses) {
   rig.twin(6);
   ASSERT_TRUE(FleetRig::until([&] {
     const auto twin = rig.twinPage(), first = rig.page(6);
     return !twin.is_null() && twin.at("doubt") == "twice" && first.at("doubt") == "twice";
   })) << rig.logs();
-  EXPECT_NE(rig.logs().find("another process speaks as member 6"), std::string::npos);
+  EXPECT_NE(rig.logs().find("another process uses member number 6"), std::string::npos);
 }
 
-// Half of them, one after the other: nobody sees anything of it.
-TEST_F(Processes, AnUpgradeIsNoNewMember) {
+// Half of the members are upgraded one after the other: no other member notices a change.
+TEST_F(Processes, UpgradeIsInvisibleToOtherMembers) {
   ASSERT_TRUE(FleetRig::until([&] { return rig.page(0).at("sure") == true; }));
   for (std::size_t n = 0; n < kMembers; n += 2) {
     const auto before = rig.page(n).at("members").at(n).at("incarnation");
@@ -180,8 +180,8 @@
   EXPECT_EQ(rig.logs().find("is left"), std::string::npos) << rig.logs();
 }
 
-// The new process dies after it took over: the old one speaks and probes again.
-TEST_F(Processes, AnUpgradeThatDiesLeavesTheOldOneInItsPlace) {
+// The new process dies after it took over: the old one resumes sending and probing.
+TEST_F(Processes, OldProcessResumesWhenTheUpgradeDies) {
   rig.start(4);
   ASSERT_TRUE(FleetRig::until([&] { return !rig.page(4).is_null() && rig.page(4).at("live") == kMembers; }))
       << rig.logs();
@@ -189,15 +189,16 @@
       FleetRig::until([&] { return rig.logs().find("another process takes over") != std::string::npos; }));
   rig.killNewest(4);
   rig.kill(7);
-  ASSERT_TRUE(agree(but({7})));
+  ASSERT_TRUE(agree(allExcept({7})));
   EXPECT_NE(rig.logs().find("the process that took over has gone"), std::string::npos);
-  rig.relay().setCut([](auto a, auto b) { return a == 4 || b == 4; });  // now it has nothing to answer
+  rig.relay().setCut(
+      [](auto a, auto b) { return a == 4 || b == 4; });  // no more pings arrive that it would reply to
   const auto sent = rig.page(4).at("datagrams").at("out").get<int>();
   EXPECT_TRUE(FleetRig::until([&] { return rig.page(4).at("datagrams").at("out").get<int>() > sent + 20; }))
-      << "it probes";
+      << "it must send probes of its own";
 }
 
-TEST_F(Processes, RollingRestartOfAllATenthAtATime) {
+TEST_F(Processes, RollingRestartOneMemberAtATimeConverges) {
   for (std::size_t n = 0; n < kMembers; ++n) {
     rig.end(n);
     ASSERT_TRUE(FleetRig::until([&] { return rig.sees((n + 1) % kMembers, n) == "left"; })) << rig.logs();
@@ -207,8 +208,9 @@
   ASSERT_TRUE(agree(rig.all()));
 }
 
-// Addresses are named, and the settings do not allow it: no socket is opened, nothing is shown.
-TEST(FleetOff, NoSocketIsOpenedWhereTheSettingsDoNotAllowTalk) {
+// Addresses are configured but the settings do not allow membership: no socket is opened, and there is no
+// page.
+TEST(FleetOff, NoSocketIsOpenedUnlessTheSettingsAllowMembership) {
   for (const bool allowed : {false, true}) {
     FleetRig rig(CLIENT_PROXY_PROGRAM, 2, 5, allowed);
     rig.startAll();
@@ -226,9 +228,9 @@
   }
 }
 
-// Proxies that stand alone, each from its operator file: a member joins by the list, while a file with a
-// mistake changes nothing.
-TEST(FleetFromFiles, AMembersFileIsFollowedAndABrokenOneIsNot) {
+// Standalone proxies, each with an operator file: a member joins when the members file lists it, and a file
+// with an error changes nothing.
+TEST(FleetFromFiles, ValidMembersFileIsAppliedAndInvalidOneIsIgnored) {
   namespace fs = std::filesystem;
   using Tcp = boost::asio::ip::tcp;
   std::string folder = "/tmp/client-proxy-members-XXXXXX";
--- a/tests/fleet_sim.h
+++ b/tests/fleet_sim.h
@@ -1,5 +1,6 @@
-// Many state machines of the fleet, as compiled into the daemon, on links that lose, delay, double, reorder
-// and cut, in simulated time: the same for the same seed. Invariants are checked at every step.
+// Simulation of a fleet: the daemon's own membership state machines in simulated time, on links that lose,
+// delay, duplicate and reorder datagrams, and with network cuts. Deterministic for a seed. Invariants are
+// checked at every step.
 #pragma once
 
 #include <algorithm>
@@ -19,26 +20,26 @@
 namespace client_proxy::fleet::sim {
 
 struct Link {
-  double loss = 0, doubled = 0;
-  Time least = 200, most = 2000;  // delay; what overtakes is reordered
+  double loss = 0, duplication = 0;
+  Time min_delay = 200, max_delay = 2000;  // µs, uniformly distributed, so datagrams may be reordered
 };
 
 class World {
  public:
   struct Node {
     Number number = 0;
-    std::unique_ptr<Fleet> fleet;  // null: the process does not run
+    std::unique_ptr<Fleet> fleet;  // null: the process is not running
     Time clock_offset = 0;
     double clock_rate = 1;
-    Time frozen_until = 0, armed = kNever;
-    std::deque<std::pair<Number, std::string>> held;  // by the kernel of a frozen one
+    Time frozen_until = 0, timer_at = kNever;
+    std::deque<std::pair<Number, std::string>> queued;  // received by the kernel while the process is frozen
     std::uint64_t bytes_out = 0, sent = 0, starts = 0;
-    Incarnation most = 0;  // that it ever had
-    std::map<Number, Standing> seen;
+    Incarnation max_incarnation = 0;  // the highest it ever had
+    std::map<Number, Standing> last_standings;
     std::vector<Change> changes;
   };
 
-  World(std::size_t members, std::uint64_t seed) : random_(seed), members_(members), nodes(members) {
+  World(std::size_t members, std::uint64_t seed) : random_(seed), member_count_(members), nodes(members) {
     for (std::size_t n = 0; n < members; ++n) {
       list.push_back({static_cast<Number>(n), "", ""});
       nodes[n].number = static_cast<Number>(n);
@@ -51,14 +52,14 @@
   Settings settings;
   std::vector<Listed> list;
   std::function<bool(Number from, Number to)> cut = [](Number, Number) { return false; };
-  std::function<void(Settings&)> adapt = [](Settings&) {};  // before a member starts
+  std::function<void(Settings&)> adjust_settings = [](Settings&) {};  // applied before a member starts
   bool check = true;
-  std::function<void(const std::string&)> spy;  // sees each datagram
-  std::vector<std::string> broken;              // invariants
+  std::function<void(const std::string&)> on_datagram;  // called for each datagram sent
+  std::vector<std::string> violations;                  // of invariants, with time and member
 
  private:
   load_balancer::Random random_;
-  const std::size_t members_;  // what lies beyond are twins
+  const std::size_t member_count_;  // nodes from this index on are duplicates of a number
 
  public:
   std::vector<Node> nodes;
@@ -66,8 +67,8 @@
   Time local(const Node& n, Time t) const {
     return n.clock_offset + static_cast<Time>(static_cast<double>(t) * n.clock_rate);
   }
-  // Another process of a number that one holds already: datagrams to the number reach both. Its place among
-  // nodes.
+  // Starts another process with a number that is already in use: datagrams to the number reach both. Returns
+  // its index in `nodes`.
   std::size_t twin(Number number) {
     nodes.emplace_back();
     nodes.back().number = number;
@@ -78,20 +79,20 @@
     Node& node = nodes[n];
     Settings own = settings;
     own.self = node.number;
-    adapt(own);
+    adjust_settings(own);
     ++node.starts;
     const auto nonce = static_cast<std::uint16_t>(random_.next());
     node.fleet = std::make_unique<Fleet>(
         own, list, incarnationAt(1'700'000'000'000 + local(node, now) / 1000, nonce), random_.next());
     node.frozen_until = 0;
-    node.held.clear();
-    node.seen.clear();
+    node.queued.clear();
+    node.last_standings.clear();
     Out out;
     if (remembered != nullptr) node.fleet->restore(*remembered, local(node, now));
     node.fleet->setFacts(local(node, now),
                          Facts{1, "zone-" + std::to_string(n % 3), "south", static_cast<double>(n), {}});
     node.fleet->start(local(node, now), out);
-    after(n, out);
+    process(n, out);
   }
   void startAll() {
     for (std::size_t n = 0; n < nodes.size(); ++n) start(n);
@@ -100,21 +101,21 @@
   void leave(std::size_t n) {
     Out out;
     nodes[n].fleet->leave(local(nodes[n], now), out);
-    after(n, out);
+    process(n, out);
     kill(n);
   }
   void freeze(std::size_t n, Time time) {
     nodes[n].frozen_until = now + time;
-    push(now + time, n, Event::Wake, 0, {});
+    push(now + time, n, Event::Resume, 0, {});
   }
   bool runs(std::size_t n) const { return nodes[n].fleet != nullptr; }
   Time localNow(std::size_t n) const { return local(nodes[n], now); }
 
-  // The processes of a number: one, but for twins.
-  std::vector<std::size_t> of(Number number) const {
+  // Indices of the processes with this number: more than one only after twin().
+  std::vector<std::size_t> processesOf(Number number) const {
     std::vector<std::size_t> all;
-    if (number < members_) all.push_back(number);
-    for (std::size_t i = members_; i < nodes.size(); ++i) {
+    if (number < member_count_) all.push_back(number);
+    for (std::size_t i = member_count_; i < nodes.size(); ++i) {
       if (nodes[i].number == number) all.push_back(i);
     }
     return all;
@@ -124,7 +125,8 @@
     push(now, to, Event::Arrive, from, std::move(bytes));
   }
 
-  // Runs for so long, or until it holds: looked at every 50 ms. The time it took; kNever: it never did.
+  // Runs until `holds` is true, checked every 50 ms, for at most `most`. Returns the elapsed time, or kNever
+  // if it never was true.
   Time until(Time most, const std::function<bool()>& holds) {
     const Time began = now, end = now + most;
     for (Time look = now;; look += 50 * kMillisecond) {
@@ -144,7 +146,7 @@
   }
   void runFor(Time time) { run(now + time); }
 
-  // What the live processes hold of one.
+  // Number of running, not frozen processes whose state for member `of` satisfies `state`.
   std::size_t holding(Number of, const std::function<bool(State)>& state) const {
     std::size_t n = 0;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -158,7 +160,7 @@
     return static_cast<std::size_t>(
         std::count_if(nodes.begin(), nodes.end(), [](const Node& n) { return n.fleet != nullptr; }));
   }
-  // Every running process holds the same view, and holds just the running ones for live.
+  // Whether all running processes have the same view, with exactly the running ones live.
   bool settled() const {
     const std::size_t live = running();
     std::set<std::uint32_t> hashes;
@@ -180,13 +182,13 @@
     }
     return true;
   }
-  // Deaths of processes that ran, as seen by any.
+  // Declarations of death of a running process, by any member.
   std::size_t falseDeaths = 0;
   std::uint64_t datagrams = 0, lost = 0;
 
  private:
   struct Event {
-    enum Kind : std::uint8_t { Arrive, Timer, Wake };
+    enum Kind : std::uint8_t { Arrive, Timer, Resume };
     Time at = 0;
     std::uint64_t order = 0;
     std::size_t node = 0;
@@ -202,89 +204,94 @@
 
   void handle(Event& e) {
     Node& node = nodes[e.node];
-    if (e.kind == Event::Timer && node.armed == e.at) node.armed = kNever;
+    if (e.kind == Event::Timer && node.timer_at == e.at) node.timer_at = kNever;
     if (!node.fleet) return;
     if (now < node.frozen_until) {
-      constexpr std::size_t kKernelHolds = 200;
-      if (e.kind == Event::Arrive && node.held.size() < kKernelHolds)
-        node.held.emplace_back(e.from, std::move(e.bytes));
+      constexpr std::size_t kReceiveBuffer = 200;
+      if (e.kind == Event::Arrive && node.queued.size() < kReceiveBuffer)
+        node.queued.emplace_back(e.from, std::move(e.bytes));
       return;
     }
     Out out;
-    if (e.kind == Event::Wake) {
-      for (const auto& [from, bytes] : node.held) node.fleet->receive(local(node, now), from, bytes, out);
-      node.held.clear();
+    if (e.kind == Event::Resume) {
+      for (const auto& [from, bytes] : node.queued) node.fleet->receive(local(node, now), from, bytes, out);
+      node.queued.clear();
       if (node.fleet->due() <= local(node, now)) node.fleet->onTime(local(node, now), out);
     } else if (e.kind == Event::Arrive) {
       node.fleet->receive(local(node, now), e.from, e.bytes, out);
     } else {
-      if (node.fleet->due() > local(node, now)) return arm(e.node);
+      if (node.fleet->due() > local(node, now)) return armTimer(e.node);
       node.fleet->onTime(local(node, now), out);
     }
-    after(e.node, out);
+    process(e.node, out);
   }
 
-  void arm(std::size_t n) {
+  void armTimer(std::size_t n) {
     Node& node = nodes[n];
     const Time due = node.fleet->due();
     if (due == kNever) return;
-    // The first whole microsecond at which its own clock shows that time.
+    // The first microsecond of simulated time at which the node's own clock has reached `due`.
     auto at = static_cast<Time>(static_cast<double>(due - node.clock_offset) / node.clock_rate);
     while (local(node, at) < due) ++at;
     at = std::max(at, now);
-    if (at >= node.armed) return;
-    node.armed = at;
+    if (at >= node.timer_at) return;
+    node.timer_at = at;
     push(at, n, Event::Timer, 0, {});
   }
 
-  void after(std::size_t n, Out& out) {
+  void process(std::size_t n, Out& out) {
     Node& node = nodes[n];
     for (Datagram& d : out.datagrams) {
-      if (d.bytes.size() > kMostDatagram) fail(n, "sends a datagram of " + std::to_string(d.bytes.size()));
+      if (d.bytes.size() > kMostDatagram)
+        fail(n, "sends a datagram of bytes: " + std::to_string(d.bytes.size()));
       node.bytes_out += d.bytes.size();
       ++node.sent;
       ++datagrams;
-      if (spy) spy(d.bytes);
-      const int copies = 1 + (random_.unit() < link.doubled ? 1 : 0);
+      if (on_datagram) on_datagram(d.bytes);
+      const int copies = 1 + (random_.unit() < link.duplication ? 1 : 0);
       for (int c = 0; c < copies; ++c) {
         if (cut(node.number, d.to) || random_.unit() < link.loss) {
           ++lost;
           continue;
         }
         const auto delay =
-            link.least + static_cast<Time>(random_.unit() * static_cast<double>(link.most - link.least));
-        for (const std::size_t to : of(d.to)) push(now + delay, to, Event::Arrive, node.number, d.bytes);
+            link.min_delay +
+            static_cast<Time>(random_.unit() * static_cast<double>(link.max_delay - link.min_delay));
+        for (const std::size_t to : processesOf(d.to))
+          push(now + delay, to, Event::Arrive, node.number, d.bytes);
       }
     }
     for (const Change& c : out.changes) {
       node.changes.push_back(c);
       if (c.is == State::Dead && runs(c.member) && now >= nodes[c.member].frozen_until) ++falseDeaths;
     }
-    node.most = std::max(node.most, node.fleet->incarnation());
+    node.max_incarnation = std::max(node.max_incarnation, node.fleet->incarnation());
     if (check) checkNode(n);
-    arm(n);
+    armTimer(n);
   }
 
-  // Nobody knows more of a member than it ever said; what is known never goes back; nobody holds itself for
-  // gone.
+  // Invariants: no member knows a higher incarnation of another than that one ever had; known standings never
+  // decrease; no member considers itself dead.
   void checkNode(std::size_t n) {
     Node& node = nodes[n];
     for (const Member& m : node.fleet->roster().all()) {
       const Number of = m.listed.number;
       Incarnation most = 0;
-      for (const std::size_t i : this->of(of)) most = std::max(most, nodes[i].most);
-      if (m.standing.incarnation > most) fail(n, "knows more of " + std::to_string(of) + " than it said");
-      Standing& before = node.seen[of];
-      if (m.standing < before) fail(n, "forgets what it knew of " + std::to_string(of));
+      for (const std::size_t i : this->processesOf(of)) most = std::max(most, nodes[i].max_incarnation);
+      if (m.standing.incarnation > most)
+        fail(n, "knows an incarnation that member " + std::to_string(of) + " never had");
+      Standing& before = node.last_standings[of];
+      if (m.standing < before) fail(n, "has moved to a lower standing of member " + std::to_string(of));
       before = m.standing;
       if (of == node.number && m.standing.state != State::Alive && m.standing.state != State::Left)
-        fail(n, "holds itself for " + std::string(nameOf(m.standing.state)));
-      if (m.facts.size() > kMaxFactsBytes) fail(n, "holds a record of " + std::to_string(m.facts.size()));
+        fail(n, "considers itself " + std::string(nameOf(m.standing.state)));
+      if (m.facts.size() > kMaxFactsBytes)
+        fail(n, "holds a record of bytes: " + std::to_string(m.facts.size()));
     }
   }
   void fail(std::size_t n, const std::string& what) {
-    if (broken.size() < 20)
-      broken.push_back("at " + std::to_string(now) + " us member " + std::to_string(n) + " " + what);
+    if (violations.size() < 20)
+      violations.push_back("at " + std::to_string(now) + " us member " + std::to_string(n) + " " + what);
   }
 
   std::priority_queue<Event> events_;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Many members in simulated time, with faults between them: what the fleet's own view promises. Each case
-// runs with several seeds, and names the one that failed.
+// Membership of many members in simulated time, with process and network faults. Each case runs with several
+// seeds, and reports the seed that failed.
 #include <gtest/gtest.h>
 
 #include "fleet_sim.h"
@@ -13,7 +13,7 @@
 constexpr Time kMinute = 60 * kSecond;
 
 bool dead(State s) { return s == State::Dead; }
-bool gone(State s) { return s == State::Dead || s == State::Left; }
+bool deadOrLeft(State s) { return s == State::Dead || s == State::Left; }
 
 class FleetTest : public ::testing::TestWithParam<std::uint64_t> {
  protected:
@@ -30,7 +30,7 @@
     return world;
   }
   static void check(const World& world) {
-    for (const std::string& b : world.broken) ADD_FAILURE() << b << " (seed " << GetParam() << ")";
+    for (const std::string& b : world.violations) ADD_FAILURE() << b << " (seed " << GetParam() << ")";
   }
   static testing::AssertionResult settles(World& world, Time within) {
     if (world.until(within, [&] { return world.settled(); }) != kNever) return testing::AssertionSuccess();
@@ -41,18 +41,18 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetTest, ::testing::Range<std::uint64_t>(1, 1 + kSeeds));
 
-TEST_P(FleetTest, AllStartAtOnceWithHalfOfTheListDead) {
+TEST_P(FleetTest, ViewsConvergeWhenHalfOfTheListedMembersNeverStart) {
   const auto w = fleet(40);
   for (std::size_t n = 0; n < 40; n += 2) w->start(n);
   EXPECT_TRUE(settles(*w, 5 * kSecond));
   EXPECT_EQ(w->nodes[0].fleet->view(w->localNow(0)).unknown, 20U);
   w->runFor(5 * kSecond);
   EXPECT_EQ(w->nodes[0].fleet->doubt(w->localNow(0)), Doubt::None)
-      << "of those that never were nobody is missed";
+      << "members that never started do not count as lost";
   check(*w);
 }
 
-TEST_P(FleetTest, ACrashIsKnownToAllAndSoIsTheReturn) {
+TEST_P(FleetTest, CrashAndReturnAreDetectedByAllMembers) {
   const auto w = settled(50);
   w->kill(7);
   EXPECT_NE(w->until(6 * kSecond, [&] { return w->holding(7, dead) == 49; }), kNever) << GetParam();
@@ -61,28 +61,30 @@
   check(*w);
 }
 
-TEST_P(FleetTest, AThirdDiesAtOnce) {
+TEST_P(FleetTest, SimultaneousCrashOfAThirdIsDetectedWithoutFalseDeaths) {
   const auto w = settled(48);
   for (std::size_t n = 0; n < 48; n += 3) w->kill(n);
   EXPECT_TRUE(settles(*w, 12 * kSecond));
   EXPECT_EQ(w->falseDeaths, 0U);
-  EXPECT_EQ(w->nodes[1].fleet->doubt(w->localNow(1)), Doubt::None) << "two thirds are enough to be sure";
+  EXPECT_EQ(w->nodes[1].fleet->doubt(w->localNow(1)), Doubt::None)
+      << "two thirds of the members are a reliable view";
   check(*w);
 }
 
-// Its kernel still takes datagrams: it hears late that it was thought dead, and says otherwise.
-TEST_P(FleetTest, AFrozenMemberRefutesItsDeathWhenItComesBack) {
+// The kernel of a frozen process still queues datagrams: it learns late that it was declared dead, and
+// refutes it.
+TEST_P(FleetTest, FrozenMemberRefutesItsDeathAfterResuming) {
   const auto w = settled(16);
   w->freeze(5, 10 * kSecond);
   EXPECT_NE(w->until(8 * kSecond, [&] { return w->holding(5, dead) == 15; }), kNever);
   w->runFor(10 * kSecond - (w->now % kSecond));
   EXPECT_TRUE(settles(*w, 5 * kSecond));
   EXPECT_GE(w->nodes[5].fleet->refuted(), 1U);
-  EXPECT_EQ(w->falseDeaths, 0U) << "and it accused nobody for its own sleep";
+  EXPECT_EQ(w->falseDeaths, 0U) << "and it has accused no other member because of its own pause";
   check(*w);
 }
 
-TEST_P(FleetTest, WhoStoodStillIsNotSureForAWhile) {
+TEST_P(FleetTest, ViewIsDoubtfulAfterAPauseOfTheProcess) {
   const auto w = settled(8);
   ASSERT_EQ(w->nodes[2].fleet->doubt(w->localNow(2)), Doubt::None);
   w->freeze(2, 1500 * kMillisecond);
@@ -93,7 +95,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, ALeaveIsTold) {
+TEST_P(FleetTest, LeaveAndReturnAreAnnouncedToAllMembers) {
   const auto w = settled(30);
   w->leave(4);
   EXPECT_NE(
@@ -104,7 +106,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, RollingRestartOfAllATenthAtATime) {
+TEST_P(FleetTest, RollingRestartOfATenthAtATimeCausesNoFalseDeaths) {
   const auto w = settled(40);
   for (std::size_t tenth = 0; tenth < 10; ++tenth) {
     for (std::size_t n = tenth; n < 40; n += 10) w->leave(n);
@@ -118,8 +120,9 @@
   check(*w);
 }
 
-// Eight against four, and on both sides somebody joins, leaves and dies meanwhile.
-TEST_P(FleetTest, APartitionHealsWhateverHappenedInIt) {
+// A partition of eight and four members, with a member that joins, one that leaves and one that dies on each
+// side.
+TEST_P(FleetTest, PartitionHealsAfterJoinsLeavesAndCrashesOnBothSides) {
   const auto w = fleet(12);
   for (std::size_t n = 0; n < 12; ++n) {
     if (n != 3 && n != 9) w->start(n);
@@ -131,7 +134,7 @@
   EXPECT_EQ(w->nodes[0].fleet->roster().live(), 7U);
   EXPECT_EQ(w->nodes[8].fleet->roster().live(), 3U);
   EXPECT_EQ(w->nodes[8].fleet->doubt(w->localNow(8)), Doubt::Minority)
-      << "the smaller part knows that it is one";
+      << "the smaller part must detect that it is the minority";
   EXPECT_EQ(w->nodes[0].fleet->doubt(w->localNow(0)), Doubt::None);
   w->start(3);
   w->start(9);
@@ -144,11 +147,11 @@
   w->cut = [](Number, Number) { return false; };
   EXPECT_TRUE(settles(*w, 5 * kSecond));
   EXPECT_EQ(w->nodes[8].fleet->roster().live(), 8U);
-  EXPECT_EQ(w->holding(10, gone), 8U);
+  EXPECT_EQ(w->holding(10, deadOrLeft), 8U);
   check(*w);
 }
 
-TEST_P(FleetTest, ThreeIslandsFindOneAnotherAgain) {
+TEST_P(FleetTest, PartitionIntoThreeHeals) {
   const auto w = settled(30);
   w->cut = [](Number a, Number b) { return a % 3 != b % 3; };
   w->runFor(20 * kSecond);
@@ -158,8 +161,9 @@
   check(*w);
 }
 
-// A slow split: those that are lost one after the other must not be tried as seldom as the first of them was.
-TEST_P(FleetTest, HalvesThatCameApartSlowlyHealAsFast) {
+// A partition that grows member by member: the ping interval must follow the current number of unreachable
+// members, and not stay as long as it was for the first of them.
+TEST_P(FleetTest, GraduallyGrownPartitionHealsAsFastAsASuddenOne) {
   const auto w = settled(60);
   std::size_t apart = 0;
   w->cut = [&](Number a, Number b) { return (a < apart) != (b < apart); };
@@ -170,14 +174,14 @@
   check(*w);
 }
 
-TEST_P(FleetTest, AOneWayCutOfOneMemberIsSeenThroughOthers) {
+TEST_P(FleetTest, OneWayCutIsBridgedByIndirectProbes) {
   const auto w = settled(12);
-  // Nothing of member 3 reaches 0 to 5; the other half vouches for it.
+  // Datagrams of member 3 do not reach 0 to 5; the other half confirms that it is alive.
   w->cut = [](Number a, Number b) { return a == 3 && b < 6; };
   w->runFor(kMinute);
   EXPECT_EQ(w->falseDeaths, 0U);
   EXPECT_TRUE(settles(*w, 5 * kSecond));
-  // And of one that can't be heard at all, though it hears, everybody learns.
+  // A member that receives but reaches no other must be declared dead by all.
   w->cut = [](Number a, Number) { return a == 3; };
   EXPECT_NE(w->until(8 * kSecond, [&] { return w->holding(3, dead) == 11; }), kNever);
   w->cut = [](Number, Number) { return false; };
@@ -185,7 +189,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, AFlappingLinkCostsNobodyHisPlace) {
+TEST_P(FleetTest, ViewsConvergeAfterAFlappingLink) {
   const auto w = settled(12);
   w->cut = [&](Number a, Number b) { return (a == 2 || b == 2) && (w->now / (700 * kMillisecond)) % 2 == 0; };
   w->runFor(kMinute);
@@ -194,9 +198,9 @@
   check(*w);
 }
 
-TEST_P(FleetTest, DatagramsLostDoubledAndOutOfOrderKillNobody) {
+TEST_P(FleetTest, LossDuplicationAndReorderingCauseNoFalseDeaths) {
   const auto w = fleet(24);
-  w->link = {.loss = 0.05, .doubled = 0.05, .least = 200, .most = 60 * kMillisecond};
+  w->link = {.loss = 0.05, .duplication = 0.05, .min_delay = 200, .max_delay = 60 * kMillisecond};
   w->startAll();
   ASSERT_TRUE(settles(*w, 10 * kSecond));
   w->runFor(10 * kMinute);
@@ -205,7 +209,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, AFifthOfAllDatagramsLostIsSurvived) {
+TEST_P(FleetTest, CrashIsDetectedWithAFifthOfDatagramsLost) {
   const auto w = settled(24);
   w->link.loss = 0.2;
   w->runFor(2 * kMinute);
@@ -216,7 +220,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, GarbageChangesNothingAndIsCounted) {
+TEST_P(FleetTest, RandomBytesAreDroppedAndCounted) {
   const auto w = settled(8);
   const std::uint32_t before = w->nodes[0].fleet->roster().hash();
   load_balancer::Random random(GetParam());
@@ -232,8 +236,8 @@
   check(*w);
 }
 
-// A member's datagram from another member's address, or to another's, is no word of either.
-TEST_P(FleetTest, WhatIsNotFromItsAddressOrNotForUsIsDropped) {
+// A datagram whose sender does not match its source address, or that is for another member, is dropped.
+TEST_P(FleetTest, DatagramsWithWrongSenderOrReceiverAreDropped) {
   const auto w = settled(4);
   Header h;
   h.from = 2;
@@ -248,7 +252,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, ANumberUsedTwiceIsNoticedByBoth) {
+TEST_P(FleetTest, DuplicateNumberIsDetectedByBothProcesses) {
   const auto w = settled(10);
   EXPECT_FALSE(w->nodes[6].fleet->duplicateDetected(w->localNow(6)));
   const std::size_t twin = w->twin(6);
@@ -262,11 +266,11 @@
   EXPECT_EQ(w->nodes[6].fleet->doubt(w->localNow(6)), Doubt::DuplicateNumber);
   w->kill(twin);
   w->runFor(40 * kSecond);
-  EXPECT_EQ(w->nodes[6].fleet->doubt(w->localNow(6)), Doubt::None) << "it is over";
+  EXPECT_EQ(w->nodes[6].fleet->doubt(w->localNow(6)), Doubt::None) << "the doubt must end with the duplicate";
   check(*w);
 }
 
-TEST_P(FleetTest, ARestartIsNoTwinEvenIfTheClockWasSetBack) {
+TEST_P(FleetTest, RestartWithClockSetBackIsNoDuplicateNumber) {
   const auto w = settled(10);
   for (const Time back : {30 * kSecond, 3000 * kSecond}) {
     w->kill(6);
@@ -278,11 +282,11 @@
     w->runFor(30 * kSecond);
   }
   EXPECT_NE(w->until(kMinute, [&] { return w->recordsSettled(); }), kNever)
-      << "its record is the new process's";
+      << "the new process's record must supersede the old one";
   check(*w);
 }
 
-TEST_P(FleetTest, ClocksMayDifferAndDrift) {
+TEST_P(FleetTest, ClockOffsetsAndDriftCauseNoFalseDeaths) {
   const auto w = fleet(16);
   load_balancer::Random random(GetParam());
   for (auto& node : w->nodes) {
@@ -298,10 +302,11 @@
   check(*w);
 }
 
-// The next version of the message comes to a half first: both talk on, in the one that the other reads.
-TEST_P(FleetTest, HalfOfThemReadTheNextVersionOfTheMessage) {
+// Half of the members are upgraded to the next message version first: each datagram uses a version that its
+// receiver reads.
+TEST_P(FleetTest, MixedMessageVersionsInteroperate) {
   const auto w = settled(12);
-  w->adapt = [](Settings& s) { s.newest = s.self < 6 ? kNewestVersion + 1 : kNewestVersion; };
+  w->adjust_settings = [](Settings& s) { s.newest = s.self < 6 ? kNewestVersion + 1 : kNewestVersion; };
   for (std::size_t n = 0; n < 6; ++n) {
     w->leave(n);
     w->runFor(200 * kMillisecond);
@@ -309,22 +314,22 @@
   }
   EXPECT_TRUE(settles(*w, 5 * kSecond));
   std::size_t next = 0;
-  w->spy = [&](const std::string& bytes) { next += bytes[2] == kNewestVersion + 1 ? 1 : 0; };
+  w->on_datagram = [&](const std::string& bytes) { next += bytes[2] == kNewestVersion + 1 ? 1 : 0; };
   w->runFor(30 * kSecond);
-  EXPECT_GT(next, 0U) << "those that can speak it to one another";
+  EXPECT_GT(next, 0U) << "upgraded members use it among themselves";
   for (std::size_t n = 6; n < 12; ++n) EXPECT_EQ(w->nodes[n].fleet->drops().version, 0U);
   check(*w);
 }
 
-// An upgrade hands the incarnation and the view on: no other member sees anything happen.
-TEST_P(FleetTest, TheNextProcessOfAMemberIsNoNewMember) {
+// An upgrade hands over the incarnation and the view: no other member notices a change.
+TEST_P(FleetTest, HandoverToANewProcessIsInvisibleToOtherMembers) {
   const auto w = settled(10);
   const Incarnation before = w->nodes[4].fleet->incarnation();
   const MembershipSnapshot remembered = w->nodes[4].fleet->snapshot();
   for (auto& n : w->nodes) n.changes.clear();
   w->start(4, &remembered);
-  EXPECT_EQ(w->nodes[4].fleet->roster().live(), 10U) << "it knows all from its first moment";
-  EXPECT_EQ(w->nodes[4].fleet->doubt(w->localNow(4)), Doubt::ViewsDiffer) << "but for having heard anybody";
+  EXPECT_EQ(w->nodes[4].fleet->roster().live(), 10U) << "the restored view must be complete from the start";
+  EXPECT_EQ(w->nodes[4].fleet->doubt(w->localNow(4)), Doubt::ViewsDiffer) << "no datagram received yet";
   w->runFor(30 * kSecond);
   EXPECT_EQ(w->nodes[4].fleet->doubt(w->localNow(4)), Doubt::None);
   EXPECT_EQ(w->nodes[4].fleet->incarnation(), before);
@@ -333,7 +338,7 @@
   check(*w);
 }
 
-TEST_P(FleetTest, TheListIsReplacedDuringAPartition) {
+TEST_P(FleetTest, MemberListIsReplacedDuringAPartition) {
   const auto w = fleet(14);
   const std::vector<Listed> longer = w->list;
   w->list.resize(12);
@@ -341,7 +346,8 @@
   ASSERT_TRUE(settles(*w, 5 * kSecond));
   w->cut = [](Number a, Number b) { return (a < 6) != (b < 6); };
   w->runFor(10 * kSecond);
-  // Twelve and thirteen come, eleven goes; one half hears of it now, the other when it is over.
+  // Members 12 and 13 are added and 11 is removed; one half gets the new list now, the other after the
+  // partition.
   std::vector<Listed> next = longer;
   next.erase(next.begin() + 11);
   const auto hand = [&](std::size_t from, std::size_t to) {
@@ -349,7 +355,7 @@
       if (w->runs(n)) w->nodes[n].fleet->setMembers(w->localNow(n), next);
     }
   };
-  w->check = false;  // who is no longer listed is forgotten on purpose
+  w->check = false;  // removed members are forgotten on purpose
   w->kill(11);
   hand(0, 6);
   w->list = next;
@@ -362,11 +368,11 @@
   EXPECT_TRUE(settles(*w, 8 * kSecond));
   EXPECT_EQ(w->nodes[13].fleet->roster().live(), 13U);
   EXPECT_THROW(w->nodes[3].fleet->setMembers(w->now, {{1}, {2}}), std::invalid_argument)
-      << "it is not in it itself";
+      << "the list does not contain the member itself";
   EXPECT_EQ(w->nodes[3].fleet->roster().live(), 13U);
 }
 
-TEST_P(FleetTest, AnUrgentRecordIsWithAllInASecondAndOthersBeforeLong) {
+TEST_P(FleetTest, UrgentRecordReachesAllMembersWithinASecondAndAHalf) {
   const auto w = settled(60);
   ASSERT_NE(w->until(2 * kMinute, [&] { return w->recordsSettled(); }), kNever);
   w->nodes[9].fleet->setFacts(w->localNow(9), Facts{2, "zone-0", "south", 9, {{20, "zone b is silent"}}},
@@ -380,8 +386,8 @@
   check(*w);
 }
 
-// Bytes stay within the budget whatever happens, and do not grow with the fleet.
-TEST_P(FleetTest, WhatAMemberSendsIsBoundedAndFlat) {
+// The bytes sent stay within the budget under all faults, and do not grow with the fleet.
+TEST_P(FleetTest, SentBytesAreBoundedAndIndependentOfFleetSize) {
   for (const std::size_t members : {12U, 120U}) {
     const auto w = settled(members);
     w->runFor(kMinute);
@@ -395,9 +401,9 @@
   }
 }
 
-// ---- what each mechanism is for: without it, the promise above is broken ----
+// ---- each mechanism is necessary: without it, a property tested above fails ----
 
-TEST_P(FleetTest, MutationWithoutSuspicionLossKillsTheLiving) {
+TEST_P(FleetTest, MutationWithoutSuspicionLossCausesFalseDeaths) {
   const auto deaths = [&](Time suspicion) {
     const auto w = fleet(24);
     w->settings.min_suspicion = suspicion;
@@ -412,7 +418,7 @@
   EXPECT_EQ(deaths(Settings{}.min_suspicion), 0U);
 }
 
-TEST_P(FleetTest, MutationWithoutIncarnationsTheFrozenStayDead) {
+TEST_P(FleetTest, MutationWithoutRefutationFrozenMembersStayDead) {
   for (const bool refutes : {false, true}) {
     const auto w = fleet(12);
     w->settings.refute_suspicion = refutes;
@@ -424,7 +430,7 @@
   }
 }
 
-TEST_P(FleetTest, MutationWithoutTryingTheDeadHalvesStayApart) {
+TEST_P(FleetTest, MutationWithoutPingsOfDeadMembersPartitionsDoNotHeal) {
   for (const bool tries : {false, true}) {
     const auto w = fleet(12);
     if (!tries) w->settings.dead_ping_interval = kNever;
@@ -437,7 +443,7 @@
   }
 }
 
-TEST(FleetAlone, AListOfOneIsSureAndOneThatLacksItselfIsRefused) {
+TEST(FleetAlone, SingleMemberIsSureAndInvalidListsAreRejected) {
   World w(1, 1);
   w.startAll();
   w.runFor(kSecond);
@@ -447,15 +453,15 @@
   EXPECT_THROW(Fleet(Settings{}, {{0}, {1}, {1}}, 1, 1), std::invalid_argument);
 }
 
-TEST(FleetAlone, OneThatHearsNobodyIsNeverSure) {
+TEST(FleetAlone, MemberWithoutReachableOthersIsNeverSure) {
   World w(6, 1);
   w.start(2);
   w.runFor(kMinute);
   EXPECT_EQ(w.nodes[2].fleet->doubt(w.localNow(2)), Doubt::Alone);
 }
 
-// 600 within a second; bench/fleet does it with 2,000.
-TEST(FleetLarge, SixHundredJoinWithinASecond) {
+// 600 members join within a second; bench/fleet does it with 2,000.
+TEST(FleetLarge, SixHundredMembersJoinWithinASecond) {
   World w(601, 5);
   w.check = false;
   w.start(0);
@@ -467,9 +473,10 @@
   EXPECT_NE(w.until(10 * kSecond, [&] { return w.settled(); }), kNever);
 }
 
-// More blocks than one digest holds: those at the ends are compared as often as the others. Where windows of
-// blocks began anywhere, block 0 of 900 members was in one of eight, and somebody lacked a member for 20 s.
-TEST(FleetLarge, NineHundredThatStartAtOnceAgree) {
+// With more blocks than one digest holds, the blocks at both ends must be compared as often as the others.
+// When windows started at any block, block 0 of 900 members was in one of eight digests, and a member was
+// missing from a view for 20 s.
+TEST(FleetLarge, NineHundredSimultaneousStartsConverge) {
   World w(900, 1);
   w.check = false;
   w.startAll();
--- a/tests/fleet_wire_test.cpp
+++ b/tests/fleet_wire_test.cpp
@@ -1,4 +1,4 @@
-// What members send: to bytes and back, and what is dropped.
+// Encoding and decoding of datagrams and records, and merging of received state.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -29,8 +29,8 @@
   return writer.finish();
 }
 
-// The bits above it hold the state in rumours: nobody could read what was said of such a member.
-TEST(FleetWire, AnIncarnationThatNoProcessHasIsMalformed) {
+// The bits above kMaxIncarnation hold the state in rumours, so rumours of such a member could not be decoded.
+TEST(FleetWire, IncarnationAboveTheMaximumIsMalformed) {
   Header h = header();
   h.incarnation = kMaxIncarnation + 1;
   EXPECT_EQ(decode(Writer(h, kFleet).finish(), kFleet).fault, Fault::Malformed);
@@ -38,7 +38,7 @@
   EXPECT_EQ(decode(Writer(h, kFleet).finish(), kFleet).fault, Fault::None);
 }
 
-TEST(FleetWire, EveryItemComesBackAsItWas) {
+TEST(FleetWire, EveryItemSurvivesARoundTrip) {
   Writer writer(header(Kind::Gossip), kFleet);
   ASSERT_TRUE(writer.add(Subject{12}));
   ASSERT_TRUE(writer.add(Rumour{1, {incarnationAt(1'790'000'000'000, 5), State::Suspect}, 8}));
@@ -75,7 +75,7 @@
   EXPECT_TRUE(record.urgent);
 }
 
-TEST(FleetWire, ADatagramNeverGrowsBeyondWhatTheProtocolAllows) {
+TEST(FleetWire, DatagramDoesNotExceedTheMaximumSize) {
   Writer writer(header(), kFleet);
   int fitted = 0;
   while (writer.add(Rumour{1, {1, State::Alive}})) ++fitted;
@@ -85,7 +85,7 @@
   EXPECT_EQ(decode(bytes, kFleet).message.items.size(), 22U);
 }
 
-TEST(FleetWire, WhatIsNotOursIsTold) {
+TEST(FleetWire, ForeignAndUnsupportedDatagramsAreRejectedByCause) {
   const std::string good = datagram();
   ASSERT_EQ(decode(good, kFleet).fault, Fault::None);
   EXPECT_EQ(decode(good, kFleet + 1).fault, Fault::Checksum) << "another fleet";
@@ -101,7 +101,7 @@
   EXPECT_EQ(decode(sealed(later, kFleet), kFleet, kNewestVersion + 1).fault, Fault::None);
 }
 
-TEST(FleetWire, ALaterProgramsItemIsPassedOver) {
+TEST(FleetWire, ItemWithUnknownTagIsSkipped) {
   Writer writer(header(), kFleet);
   writer.add(Subject{4});
   writer.add(Rumour{1, {1, State::Alive}});
@@ -115,18 +115,18 @@
   EXPECT_EQ(std::get<Rumour>(d.message.items[0]).member, 1);
 }
 
-TEST(FleetWire, ItemsThatRunOverTheEndAreMalformed) {
+TEST(FleetWire, ItemsPastTheEndAndUnknownKindsAreMalformed) {
   for (const auto& [at, value] :
        std::vector<std::pair<std::size_t, char>>{{kHeader + 1, '\x7F'},  // its length
                                                  {kHeader + 1, 3},       // cut short
-                                                 {8, 99}}) {             // no such kind
+                                                 {8, 99}}) {             // unknown kind
     std::string bytes = datagram();
     bytes[at] = value;
     EXPECT_EQ(decode(sealed(std::move(bytes), kFleet), kFleet).fault, Fault::Malformed) << at;
   }
 }
 
-TEST(FleetWire, AnyChangedByteIsNoticed) {
+TEST(FleetWire, AnyChangedByteIsRejected) {
   rc::check([] {
     std::string bytes = datagram();
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -136,7 +136,7 @@
   });
 }
 
-TEST(FleetWire, NoBytesBreakTheReader) {
+TEST(FleetWire, ArbitraryItemBytesAreParsedOrMalformed) {
   rc::check([](const std::string& items) {
     std::string bytes = Writer(header(), kFleet).finish();
     bytes += items.substr(0, kMostDatagram - bytes.size());
@@ -145,7 +145,7 @@
   });
 }
 
-TEST(FleetFacts, ComeBackAsTheyWereAndStayInTheirBounds) {
+TEST(FleetFacts, SurviveARoundTripWithinTheirSizeLimits) {
   Facts facts{3, "porto-alegre", "sul", 12.5, {{20, "evidence"}, {21, std::string(40, 'z')}}};
   const auto back = decodeFacts(encode(facts));
   ASSERT_TRUE(back);
@@ -159,36 +159,37 @@
   facts.zone = std::string(200, 'a');
   EXPECT_LE(encode(facts).size(), kMaxFactsBytes);
   EXPECT_EQ(decodeFacts(encode(facts))->zone.size(), kMaxNameBytes);
-  EXPECT_EQ(decodeFacts(encode(facts))->find(22), nullptr) << "the last ones are left out";
+  EXPECT_EQ(decodeFacts(encode(facts))->find(22), nullptr) << "the last notes are omitted";
   EXPECT_FALSE(decodeFacts(std::string("\x02\x09half", 6)));
   EXPECT_FALSE(decodeFacts(std::string(kMaxFactsBytes + 1, '\0')));
 }
 
-// Whatever comes first, and how often: the same in the end.
-TEST(FleetRoster, MergesToTheSameInAnyOrder) {
+// Merging the same updates in any order, and more than once, gives the same roster.
+TEST(FleetRoster, MergeIsIndependentOfOrderAndRepetition) {
   rc::check([](std::uint32_t seed) {
-    struct News {
+    struct Update {
       std::size_t slot;
       Standing standing;
       RecordVersion version;
     };
     load_balancer::Random random(seed);
-    std::vector<News> news;
+    std::vector<Update> updates;
     for (int i = 0; i < 60; ++i) {
       const Incarnation at = incarnationAt(1 + random.below(3), static_cast<std::uint16_t>(random.below(2)));
-      news.push_back({random.below(5), {at, static_cast<State>(1 + random.below(4))}, {at, random.below(3)}});
+      updates.push_back(
+          {random.below(5), {at, static_cast<State>(1 + random.below(4))}, {at, random.below(3)}});
     }
     const auto apply = [&](const std::vector<std::size_t>& order) {
       Roster r;
       r.setMembers({{0}, {3}, {17}, {18}, {300}});
       for (const std::size_t i : order) {
-        r.merge(news[i].slot, news[i].standing, 0);
-        r.merge(news[i].slot, news[i].version, std::to_string(news[i].version.sequence));
+        r.merge(updates[i].slot, updates[i].standing, 0);
+        r.merge(updates[i].slot, updates[i].version, std::to_string(updates[i].version.sequence));
       }
       return r;
     };
     std::vector<std::size_t> order;
-    for (std::size_t i = 0; i < news.size(); ++i) order.push_back(i), order.push_back(i);
+    for (std::size_t i = 0; i < updates.size(); ++i) order.push_back(i), order.push_back(i);
     const Roster first = apply(order);
     for (std::size_t i = order.size(); i > 1; --i)
       std::swap(order[i - 1], order[random.below(static_cast<std::uint32_t>(i))]);
@@ -206,7 +207,7 @@
   });
 }
 
-TEST(FleetRoster, ANewListKeepsWhatIsKnownAndForgetsWhoIsGone) {
+TEST(FleetRoster, NewListKeepsListedMembersAndRemovesOthers) {
   Roster r;
   r.setMembers({{1}, {2}, {40}});
   r.merge(0, Standing{5, State::Alive}, 10);
@@ -220,7 +221,7 @@
   EXPECT_EQ(r.count(State::Unknown), 1U);
   const std::uint32_t hash = r.hash();
   r.setMembers({{1}, {40}});
-  EXPECT_EQ(r.hash(), hash) << "of whom nobody has heard does not count";
+  EXPECT_EQ(r.hash(), hash) << "unknown members must not affect the hash";
 }
 
 }  // namespace
--- a/tests/processes_support.h
+++ b/tests/processes_support.h
@@ -1,4 +1,5 @@
-// Shared by the tests with processes: a plan's stand-ins, the proxies before them, and who calls those.
+// Fixture of the process tests: a plan's stand-in hosts, the proxies in front of them, and the clients that
+// call the proxies.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,12 +20,13 @@
  protected:
   explicit PlannedProcesses(Plan p) : plan(std::move(p)) {}
 
+  // Starts the calls of the plan's clients.
   void call() {
     std::vector<Callers::Endpoint> at;
     for (std::size_t n = 0; n < plan.proxies; ++n) at.push_back(fleet.listensForCalls(n));
     callers = std::make_unique<Callers>(plan, at, record);
   }
-  // All but a zone's proxies.
+  // The proxies of all zones but this one.
   std::set<std::size_t> outside(std::size_t zone) const {
     std::set<std::size_t> rest;
     for (std::size_t n = 0; n < plan.proxies; ++n) {
@@ -32,7 +34,7 @@
     }
     return rest;
   }
-  // Empty: all that was asked.
+  // Stops the calls and returns the broken rules, one a line; empty if all were kept.
   std::string keptTheRules() {
     callers->stop();
     std::string all;
