--- a/src/fleet/include/fleet/fleet.h
+++ b/src/fleet/include/fleet/fleet.h
@@ -54,7 +54,8 @@
   Number to = 0;
   std::string bytes;
 };
-// Another package's payload from one member to another; it may arrive late or never.
+// Another package's payload from one member to another. It is sent once, without acknowledgement, and may
+// arrive late or never.
 struct ApplicationMessage {
   Number from = 0;
   std::string bytes;
@@ -98,6 +99,7 @@
   void restore(const MembershipSnapshot& previous, Time now);
   MembershipSnapshot snapshot() const;
 
+  // Starts the protocol with the first pings.
   void start(Time now, Out& out);
   // `from` is the member whose listed address the datagram was sent from.
   void receive(Time now, Number from, std::string_view datagram, Out& out);
--- a/src/fleet_transport/include/fleet_transport/membership_service.h
+++ b/src/fleet_transport/include/fleet_transport/membership_service.h
@@ -46,7 +46,8 @@
   };
   virtual ~MembershipService() = default;
   virtual Traffic traffic() const = 0;
-  // Sends another package's message to a member. It may arrive late or never, and is dropped before start().
+  // Sends another package's message to a member, once and without acknowledgement: it may arrive late or
+  // never. Messages before start() are dropped.
   virtual void send(Number to, std::string bytes) = 0;
   // Sets the handler of received messages.
   virtual void onApplicationMessage(std::function<void(Number from, std::string_view bytes)> take) = 0;
