--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -11,22 +11,23 @@
 namespace {
 
 constexpr std::uint16_t kMagic = 0xB17D;
-constexpr std::size_t kChecked = 8;  // where the checksum's part begins
+constexpr std::size_t kChecked = 8;  // offset of the bytes covered by the checksum
 
 // Tags of items.
 constexpr std::uint8_t kSubject = 1, kRumours = 2, kRecord = 3, kDigest = 4, kBlock = 5, kHeld = 6,
                        kCarried = 7;
 
-// No time of this century fills an incarnation's highest bits: they hold a rumour's state.
+// An incarnation's highest bits are zero for all times of this century; in a rumour they hold the state.
 constexpr unsigned kStateShift = 61;
 
-// Of all but its own four bytes: what stands before them goes into the seed.
+// Covers all bytes but the checksum itself: the four bytes before it are mixed into the seed.
 std::uint32_t checksumOf(std::string_view datagram, std::uint64_t fleet) {
   const std::uint64_t seed = fleet ^ static_cast<std::uint64_t>(Reader(datagram).get<std::uint32_t>()) << 32;
   const std::string_view rest = datagram.substr(kChecked);
   return static_cast<std::uint32_t>(XXH3_64bits_withSeed(rest.data(), rest.size(), seed));
 }
 
+// Appends an item's value to `out` and returns its tag.
 struct Encoder {
   std::string& out;
   std::uint8_t operator()(const Subject& s) const {
@@ -55,10 +56,10 @@
   }
   std::uint8_t operator()(const Block& b) const {
     put(out, b.block);
-    put(out, static_cast<std::uint8_t>(b.wants));
+    put(out, static_cast<std::uint8_t>(b.reply_requested));
     return kBlock;
   }
-  std::uint8_t operator()(const Carried& c) const {
+  std::uint8_t operator()(const ApplicationPayload& c) const {
     out += c.bytes;
     return kCarried;
   }
@@ -66,12 +67,12 @@
     put(out, h.member);
     put(out, h.version.incarnation);
     put(out, h.version.sequence);
-    put(out, static_cast<std::uint8_t>(h.wants));
+    put(out, static_cast<std::uint8_t>(h.reply_requested));
     return kHeld;
   }
 };
 
-// Each reads the items of one tag. False: malformed.
+// Each function decodes the items of one tag, and returns false if they are malformed.
 bool readRumours(Reader& in, std::vector<Item>& items) {
   while (in.left() > 0) {
     Rumour rumour;
@@ -121,7 +122,7 @@
   held.member = in.get<Number>();
   held.version.incarnation = in.get<Incarnation>();
   held.version.sequence = in.get<std::uint32_t>();
-  held.wants = in.get<std::uint8_t>() != 0;
+  held.reply_requested = in.get<std::uint8_t>() != 0;
   items.emplace_back(held);
   return true;
 }
@@ -149,10 +150,10 @@
       valid = readHeld(in, items);
       break;
     case kCarried:
-      items.emplace_back(Carried{std::string(in.take(in.left()))});
+      items.emplace_back(ApplicationPayload{std::string(in.take(in.left()))});
       break;
     default:
-      return true;  // a later program's
+      return true;  // unknown tag, written by a later version
   }
   return valid && in.ok();
 }
@@ -183,9 +184,9 @@
 
 bool Writer::add(const Item& item) {
   const std::size_t before = bytes_.size();
-  const bool goes_on = run_ != 0 && std::holds_alternative<Rumour>(item);
-  const std::size_t begin = goes_on ? run_ : before;
-  if (!goes_on) bytes_.append(2, '\0');
+  const bool joins_rumours = rumours_begin_ != 0 && std::holds_alternative<Rumour>(item);
+  const std::size_t begin = joins_rumours ? rumours_begin_ : before;
+  if (!joins_rumours) bytes_.append(2, '\0');
   const std::uint8_t tag = std::visit(Encoder{bytes_}, item);
   if (bytes_.size() > kMostDatagram) {
     bytes_.resize(before);
@@ -193,7 +194,7 @@
   }
   bytes_[begin] = static_cast<char>(tag);
   bytes_[begin + 1] = static_cast<char>(static_cast<std::uint8_t>(bytes_.size() - begin - 2));
-  run_ = std::holds_alternative<Rumour>(item) ? begin : 0;
+  rumours_begin_ = std::holds_alternative<Rumour>(item) ? begin : 0;
   return true;
 }
 
@@ -219,13 +220,13 @@
   if (in.get<std::uint32_t>() != checksumOf(datagram, fleet)) return {Fault::Checksum};
   const auto kind = in.get<std::uint8_t>();
   in.get<std::uint8_t>();
-  if (kind < static_cast<std::uint8_t>(Kind::Ping) || kind > static_cast<std::uint8_t>(Kind::Talk))
+  if (kind < static_cast<std::uint8_t>(Kind::Ping) || kind > static_cast<std::uint8_t>(Kind::Gossip))
     return {Fault::Malformed};
   h.kind = static_cast<Kind>(kind);
   h.from = in.get<Number>();
   h.to = in.get<Number>();
   h.incarnation = in.get<Incarnation>();
-  if (h.incarnation > kMostIncarnation) return {Fault::Malformed};
+  if (h.incarnation > kMaxIncarnation) return {Fault::Malformed};
   h.sequence = in.get<std::uint32_t>();
   h.view = in.get<std::uint32_t>();
   while (in.left() > 0) {
@@ -239,8 +240,8 @@
 std::uint64_t fleetSeed(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
 std::uint64_t hashOf(Number member, const Standing& s) {
-  // A suspect counts as alive: accusations come and go faster than views are compared.
-  if (s.state == State::Unheard) return 0;
+  // A suspect counts as alive: suspicions come and go faster than views are compared.
+  if (s.state == State::Unknown) return 0;
   const State state = s.state == State::Suspect ? State::Alive : s.state;
   return hashOfAll(member, s.incarnation, static_cast<std::uint8_t>(state));
 }
