--- a/src/replica/disk_task.cpp
+++ b/src/replica/disk_task.cpp
@@ -12,105 +12,106 @@
 
 namespace {
 
-constexpr int kNoPageLimit = 1'073'741'823;  // SQLite's own default
+constexpr int kNoPageLimit = 1'073'741'823;  // SQLite's default
 
 }  // namespace
 
-DiskTask::DiskTask(asio::io_context& home, std::string folder, ReplicaId self, std::size_t kept,
-                   Reports reports)
-    : home_(home),
+DiskTask::DiskTask(asio::io_context& callback_io, std::string folder, ReplicaId self,
+                   std::size_t kept_changes, Callbacks callbacks)
+    : callback_io_(callback_io),
       folder_(std::move(folder)),
       self_(self),
-      kept_(kept),
-      reports_(std::move(reports)),
+      kept_changes_(kept_changes),
+      callbacks_(std::move(callbacks)),
       loop_("replica"),
-      orders_(loop_.io(), kMaxWaiting) {
-  asio::co_spawn(loop_.io(), work(), asio::detached);
+      commands_(loop_.io(), kMaxQueued) {
+  asio::co_spawn(loop_.io(), processCommands(), asio::detached);
 }
 
 DiskTask::~DiskTask() {
   *alive_ = false;
-  if (!orders_.post(End{})) orders_.close();  // full: what waits is given up, nobody was told of it
+  if (!commands_.post(StopCommand{}))
+    commands_.close();  // full: queued commands are dropped; their results were not reported
   loop_.end();
 }
 
 bool DiskTask::write(std::vector<consensus::Write> writes) {
-  return orders_.post(WriteOrder{std::move(writes)});
+  return commands_.post(WriteCommand{std::move(writes)});
 }
 
 bool DiskTask::read(std::uint64_t token, Version from, std::size_t max_count, std::size_t max_text_bytes) {
-  return orders_.post(ReadOrder{token, from, max_count, max_text_bytes});
+  return commands_.post(ReadCommand{token, from, max_count, max_text_bytes});
 }
 
-void DiskTask::open() { orders_.post(OpenOrder{}); }
+void DiskTask::open() { commands_.post(OpenCommand{}); }
 
-void DiskTask::limitPages(int most) { orders_.post(LimitOrder{most}); }
+void DiskTask::limitPages(int max_pages) { commands_.post(LimitPagesCommand{max_pages}); }
 
-asio::awaitable<void> DiskTask::work() {
-  while (const auto order = co_await orders_.take()) {
-    if (std::holds_alternative<End>(*order)) co_return;
-    std::visit([this](const auto& one) { carryOut(one); }, *order);
+asio::awaitable<void> DiskTask::processCommands() {
+  while (const auto command = co_await commands_.take()) {
+    if (std::holds_alternative<StopCommand>(*command)) co_return;
+    std::visit([this](const auto& one) { execute(one); }, *command);
   }
 }
 
-void DiskTask::openHere() { tryToOpen()(); }
+void DiskTask::openSync() { tryOpen()(); }
 
-// What there is to report of it.
-std::function<void()> DiskTask::tryToOpen() {
-  std::error_code ignored;  // a folder that can't be made is one in which no file can be opened
+// Returns the callback that reports the result.
+std::function<void()> DiskTask::tryOpen() {
+  std::error_code ignored;  // if the folder can't be created, opening the file fails below
   std::filesystem::create_directories(folder_, ignored);
   usable_ = false;
   store_.reset();
   try {
-    store_ = std::make_unique<Store>(folder_ + "/replica.db", self_, kept_);
+    store_ = std::make_unique<Store>(folder_ + "/replica.db", self_, kept_changes_);
     if (page_limit_ > 0) store_->limitPages(page_limit_);
-    Loaded loaded;
+    LoadedState loaded;
     loaded.state = store_->load();
     const Version newest = loaded.state.version();
-    const Version from = newest >= kNewest ? newest - kNewest + 1 : 1;
-    loaded.newest = store_->changesFrom(from, kNewest, kNewestTextBytes);
-    const bool whole = loaded.newest.empty() || loaded.newest.back().version == newest;
-    if (!whole) loaded.newest = store_->changesFrom(newest, 1, 0);
+    const Version from = newest >= kMaxRecent ? newest - kMaxRecent + 1 : 1;
+    loaded.recent = store_->changesFrom(from, kMaxRecent, kMaxRecentTextBytes);
+    const bool newest_included = loaded.recent.empty() || loaded.recent.back().version == newest;
+    if (!newest_included) loaded.recent = store_->changesFrom(newest, 1, 0);
     usable_ = true;
-    return [this, loaded = std::move(loaded)] { reports_.opened(loaded); };
+    return [this, loaded = std::move(loaded)] { callbacks_.opened(loaded); };
   } catch (const sqlite::Error& e) {
     store_.reset();
-    return [this, e] { reports_.not_opened(e); };
+    return [this, e] { callbacks_.open_failed(e); };
   }
 }
 
-void DiskTask::carryOut(const OpenOrder& /*order*/) { report(tryToOpen()); }
+void DiskTask::execute(const OpenCommand& /*command*/) { postCallback(tryOpen()); }
 
-void DiskTask::carryOut(const WriteOrder& order) {
+void DiskTask::execute(const WriteCommand& command) {
   if (!usable_) return;
   try {
-    store_->write(order.writes);
-    report([this] { reports_.written(); });
+    store_->write(command.writes);
+    postCallback([this] { callbacks_.written(); });
   } catch (const sqlite::Error& e) {
     usable_ = false;
-    report([this, e] { reports_.failed(e); });
+    postCallback([this, e] { callbacks_.write_failed(e); });
   }
 }
 
-void DiskTask::carryOut(const ReadOrder& order) {
+void DiskTask::execute(const ReadCommand& command) {
   std::vector<Change> changes;
   try {
-    if (store_) changes = store_->changesFrom(order.from, order.max_count, order.max_text_bytes);
+    if (store_) changes = store_->changesFrom(command.from, command.max_count, command.max_text_bytes);
   } catch (const sqlite::Error&) {
-    // Whoever asked asks another replica; the next opening names the row.
+    // The requester turns to another replica; the next open reports the corrupt row.
   }
-  report([this, token = order.token, changes = std::move(changes)]() mutable {
-    reports_.changes(token, std::move(changes));
+  postCallback([this, token = command.token, changes = std::move(changes)]() mutable {
+    callbacks_.changes_read(token, std::move(changes));
   });
 }
 
-void DiskTask::carryOut(const LimitOrder& order) {
-  page_limit_ = order.most;
-  if (store_) store_->limitPages(order.most > 0 ? order.most : kNoPageLimit);
+void DiskTask::execute(const LimitPagesCommand& command) {
+  page_limit_ = command.max_pages;
+  if (store_) store_->limitPages(command.max_pages > 0 ? command.max_pages : kNoPageLimit);
 }
 
-void DiskTask::report(std::function<void()> call) {
-  asio::post(home_, [alive = alive_, call = std::move(call)] {
+void DiskTask::postCallback(std::function<void()> call) {
+  asio::post(callback_io_, [alive = alive_, call = std::move(call)] {
     if (*alive) call();
   });
 }
--- a/src/replica/include/replica/acknowledgements.h
+++ b/src/replica/include/replica/acknowledgements.h
@@ -1,4 +1,5 @@
-// What proxies have said is in force with them, in memory. Pure.
+// The configuration version each proxy has reported as in force, kept in memory. Does no I/O and reads no
+// clock.
 #pragma once
 
 #include <chrono>
@@ -15,24 +16,25 @@
   using Time = std::chrono::milliseconds;
   using MemberId = distribution::MemberId;
 
-  /// The newest by sequence is kept; one that is overtaken only counts as heard.
-  void take(Time now, const distribution::Acknowledgement& acknowledgement);
+  /// Keeps the acknowledgement with the highest sequence number per member; an older one only updates the
+  /// time of last contact. A new member is ignored if there are kMaxMembers already.
+  void record(Time now, const distribution::Acknowledgement& acknowledgement);
   void connected(Time now, MemberId member);
   void disconnected(Time now, MemberId member);
-  /// Those connected and those heard within kForgetAfter, ascending.
+  /// Members that are connected or had contact within kRetention, in ascending order.
   std::vector<distribution::MemberStatus> status(Time now);
 
   static constexpr std::size_t kMaxMembers = 10'000;
-  static constexpr std::chrono::hours kForgetAfter{1};
+  static constexpr std::chrono::hours kRetention{1};
 
  private:
   struct Entry {
     distribution::Acknowledgement newest;
-    Time heard{};
+    Time last_contact{};
     int connections = 0;
   };
-  Entry* entryOf(Time now, MemberId member);
-  void forget(Time now);
+  Entry* findOrCreateEntry(Time now, MemberId member);
+  void removeExpired(Time now);
 
   std::map<MemberId, Entry> members_;
 };
--- a/src/replica/include/replica/engine.h
+++ b/src/replica/include/replica/engine.h
@@ -1,4 +1,5 @@
-// A replica without its sockets: the consensus node, the disk, and what both owe to each other.
+// The core of a replica, without its sockets: runs the consensus node, and executes the node's outputs once
+// their writes are on disk.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,81 +20,83 @@
 
 namespace client_proxy::replica {
 
-/// As answers to calls show it.
+/// The fault's name in HTTP replies and in the status.
 constexpr std::string_view nameOf(sqlite::Fault fault) {
   constexpr std::string_view kNames[] = {"broken database", "another replica's database", "read-only disk",
                                          "full disk", "failing disk"};
   return kNames[static_cast<std::size_t>(fault)];
 }
 
-/// The disk can't keep the change; it is not published.
-struct DiskRefused {
+/// The database can't store the change, so it is not published.
+struct DiskFailure {
   sqlite::Fault fault = sqlite::Fault::Other;
   std::string detail;
 };
 using PublishReply =
-    std::variant<distribution::Published, distribution::Conflict, consensus::PublishRefused, DiskRefused>;
+    std::variant<distribution::Published, distribution::Conflict, consensus::PublishRefused, DiskFailure>;
 
 class Engine {
  public:
-  struct Reports {
+  struct Callbacks {
     std::function<void(ReplicaId to, consensus::Message)> send;
-    std::function<void(const Change&)> chosen;  ///< on this disk; ascending
+    std::function<void(const Change&)> chosen;  ///< the change is on this disk; in ascending order of version
     std::function<void(const std::string&)> log;
   };
-  using PublishDone = std::function<void(PublishReply)>;
-  using ReadDone = std::function<void(std::optional<Change>)>;
+  using PublishCallback = std::function<void(PublishReply)>;
+  using ReadCallback = std::function<void(std::optional<Change>)>;
 
-  /// `rules`: the replica, the others, and times.
-  Engine(boost::asio::io_context& io, const std::string& folder, consensus::Rules rules, Reports reports);
+  /// `rules`: the id of this replica, those of the others, and timing.
+  Engine(boost::asio::io_context& io, const std::string& folder, consensus::Rules rules, Callbacks callbacks);
   ~Engine();
 
   void receive(ReplicaId from, const consensus::Message& message);
-  /// `done` is called exactly once, unless the engine ends.
-  void publish(distribution::PublishRequest request, std::int64_t published_ms, PublishDone done);
-  void read(Version version, ReadDone done);
+  /// `done` is called exactly once, unless the engine is destroyed first.
+  void publish(distribution::PublishRequest request, std::int64_t published_ms, PublishCallback done);
+  /// Calls `done` with the change, or with nullopt if it is not retained, can't be read, or too many reads
+  /// are pending.
+  void read(Version version, ReadCallback done);
 
-  /// The newest change that is told; null: none yet.
-  const Change* newest() const { return newest_.empty() ? nullptr : &newest_.back(); }
-  /// One of the newest few; null: it is not among them.
+  /// The newest chosen change; null if there is none yet.
+  const Change* newest() const { return recent_.empty() ? nullptr : &recent_.back(); }
+  /// A change from the cache of recent ones; null if it is not cached.
   const Change* recent(Version version) const;
-  /// Null: the disk is of no use now.
+  /// Null while the database can't be used.
   const consensus::Node* node() const { return node_.get(); }
   bool quorum() const { return node_ && node_->quorum(now()); }
   std::uint64_t startCount() const { return start_count_; }
   consensus::Time now() const;
-  /// Why the disk is of no use now.
-  const std::optional<DiskRefused>& diskFault() const { return disk_fault_; }
-  void limitPagesForTests(int most) { disk_->limitPages(most); }
+  /// Why the database can't be used; nullopt if it can.
+  const std::optional<DiskFailure>& diskFault() const { return disk_fault_; }
+  void limitPagesForTests(int max_pages) { disk_->limitPages(max_pages); }
 
-  /// Between two tries to use a disk that failed.
-  static constexpr std::chrono::milliseconds kRetryDisk{1000};
+  /// Interval between attempts to reopen a database that failed.
+  static constexpr std::chrono::milliseconds kDiskRetryInterval{1000};
 
  private:
-  void opened(Loaded loaded);
-  void failed(const sqlite::Error& error);
-  void openLater();
-  void changesRead(std::uint64_t token, std::vector<Change> changes);
-  // Has the node work on an event, and carries out what may be.
+  void onOpened(LoadedState loaded);
+  void onDiskFailed(const sqlite::Error& error);
+  void scheduleReopen();
+  void onChangesRead(std::uint64_t token, std::vector<Change> changes);
+  // Lets `event` call the node, queues the node's output and executes the outputs that are ready.
   template <typename Event>
-  void work(Event event);
-  void carryOutWhatMay();
-  void carryOut(consensus::Output output);
-  void keep(const Change& change);
-  void answer(consensus::PublishToken token, PublishReply reply);
+  void dispatch(Event event);
+  void flushOutputs();
+  void execute(consensus::Output output);
+  void addRecent(const Change& change);
+  void completePublish(consensus::PublishToken token, PublishReply reply);
   void setTimer();
   void onTimer();
 
   boost::asio::io_context& io_;
   const consensus::Rules rules_;
-  const Reports reports_;
+  const Callbacks callbacks_;
   std::unique_ptr<consensus::Node> node_;
   OutputQueue outputs_;
-  std::deque<Change> newest_;  // the last few that are told, ascending
+  std::deque<Change> recent_;  // cache of the last chosen changes, ascending
   std::uint64_t start_count_ = 0;
-  std::optional<DiskRefused> disk_fault_;
+  std::optional<DiskFailure> disk_fault_;
   std::uint64_t next_token_ = 0;
-  std::map<consensus::PublishToken, PublishDone> publishes_;
+  std::map<consensus::PublishToken, PublishCallback> publishes_;
   std::map<std::uint64_t, std::function<void(std::vector<Change>)>> reads_;
   boost::asio::steady_timer timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/replica/include/replica/http_session.h
+++ b/src/replica/include/replica/http_session.h
@@ -1,4 +1,4 @@
-// One connection to a replica's listener: requests one after the other, each answered by a Handler.
+// One HTTP connection to a replica: reads requests one after the other and passes each to an HttpHandler.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,7 +19,7 @@
 
 struct HttpRequest {
   std::string method, path;
-  std::string query;  ///< behind the question mark
+  std::string query;  ///< after the question mark
   std::string body;
 };
 
@@ -28,18 +28,19 @@
   std::string body;  ///< JSON; may be empty
 };
 
-/// What the listener does with a request.
+/// Processes the requests of a replica's HTTP server.
 class HttpHandler {
  public:
-  using Answer = std::function<void(HttpReply)>;
+  using ReplyCallback = std::function<void(HttpReply)>;
   virtual ~HttpHandler() = default;
-  /// How long the body of this call may be; nothing: there is no such call.
+  /// The maximum body size in bytes of a request with this method and path; nullopt if there is no such path.
   virtual std::optional<std::size_t> bodyLimit(const std::string& method, const std::string& path) = 0;
-  /// `answer` is called once, now or later.
-  virtual void handle(HttpRequest request, Answer answer) = 0;
-  /// A request to watch; nothing: it is none.
-  virtual std::optional<WatchRequest> watchOf(const HttpRequest& request) = 0;
-  virtual bool watch(boost::asio::ip::tcp::socket socket, WatchRequest request) = 0;
+  /// `callback` is called exactly once, during this call or later.
+  virtual void handle(HttpRequest request, ReplyCallback callback) = 0;
+  /// Parses a request to watch the configuration; nullopt if it is not one or is invalid.
+  virtual std::optional<WatchRequest> parseWatchRequest(const HttpRequest& request) = 0;
+  /// Takes over the connection as a watch. Returns false if there are too many; the socket is closed then.
+  virtual bool startWatch(boost::asio::ip::tcp::socket socket, WatchRequest request) = 0;
 };
 
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
@@ -49,11 +50,11 @@
   HttpSession& operator=(const HttpSession&) = delete;
 
   void start() { read(); }
-  /// The handler is gone.
+  /// Closes the connection; the handler is not called any more.
   void close();
 
-  /// For a request to come, and for its answer to be taken; a connection may be idle as long.
-  static constexpr std::chrono::seconds kTime{10};
+  /// Timeout for reading a request, for writing its reply, and of an idle connection.
+  static constexpr std::chrono::seconds kTimeout{10};
 
  private:
   void read();
@@ -62,7 +63,7 @@
   void reply(HttpReply reply);
 
   boost::beast::tcp_stream stream_;
-  HttpHandler* handler_;  // null: it is gone
+  HttpHandler* handler_;  // null: the session is closed
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
   boost::beast::http::response<boost::beast::http::string_body> response_;
--- a/src/replica/include/replica/output_queue.h
+++ b/src/replica/include/replica/output_queue.h
@@ -1,5 +1,5 @@
-// The order in which a replica's outputs leave it: none before its own writes and those of all before it are
-// on disk. Pure.
+// Holds back each output of the consensus node until its own writes and those of all earlier outputs are on
+// disk. Does no I/O.
 #pragma once
 
 #include <deque>
@@ -12,36 +12,37 @@
 
 class OutputQueue {
  public:
-  /// True: `writes` of the output just added are to be given to the disk now.
+  /// Returns true if the output has writes; the caller then passes newestWrites() to the disk.
   bool add(consensus::Output output) {
     const bool writes = !output.writes.empty();
-    waiting_.push_back({std::move(output), writes});
+    queue_.push_back({std::move(output), writes});
     return writes;
   }
-  const std::vector<consensus::Write>& newestWrites() const { return waiting_.back().output.writes; }
-  /// The oldest writes that were not on disk yet are.
-  void written() {
-    for (Waiting& one : waiting_) {
-      if (!std::exchange(one.on_disk_wanted, false)) continue;
+  const std::vector<consensus::Write>& newestWrites() const { return queue_.back().output.writes; }
+  /// Records that the oldest pending writes are on disk.
+  void markWritten() {
+    for (Entry& entry : queue_) {
+      if (!std::exchange(entry.awaits_disk, false)) continue;
       return;
     }
   }
-  /// The next output that may leave; nothing: there is none, or it waits for the disk.
+  /// Removes and returns the next output that may be executed; nullopt if the queue is empty or its front
+  /// waits for the disk.
   std::optional<consensus::Output> next() {
-    if (waiting_.empty() || waiting_.front().on_disk_wanted) return std::nullopt;
-    consensus::Output output = std::move(waiting_.front().output);
-    waiting_.pop_front();
+    if (queue_.empty() || queue_.front().awaits_disk) return std::nullopt;
+    consensus::Output output = std::move(queue_.front().output);
+    queue_.pop_front();
     return output;
   }
-  /// Nothing of what waits ever leaves: a write has failed.
-  void discard() { waiting_.clear(); }
+  /// Drops all queued outputs after a failed write.
+  void discard() { queue_.clear(); }
 
  private:
-  struct Waiting {
+  struct Entry {
     consensus::Output output;
-    bool on_disk_wanted = false;
+    bool awaits_disk = false;
   };
-  std::deque<Waiting> waiting_;
+  std::deque<Entry> queue_;
 };
 
 }  // namespace client_proxy::replica
--- a/src/replica/include/replica/peer_link.h
+++ b/src/replica/include/replica/peer_link.h
@@ -1,5 +1,5 @@
-// The calls to one peer: messages go out together over one connection that is kept, and are lost where it
-// fails.
+// Sends consensus messages to one peer, in batches over one persistent connection. Messages are lost if the
+// connection fails.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,23 +23,23 @@
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  /// The oldest gives way where too many wait.
+  /// Queues the message. Drops the oldest queued one if there are more than kMaxQueued.
   void send(consensus::Message message);
 
-  /// For a call of a peer, and a second more for each MiB of it.
-  static constexpr std::chrono::milliseconds kTime{1000};
-  static constexpr std::size_t kMaxWaiting = 256;
+  /// Timeout of one request to the peer; one second is added for each MiB of its body.
+  static constexpr std::chrono::milliseconds kCallTimeout{1000};
+  static constexpr std::size_t kMaxQueued = 256;
 
  private:
   class Connection;
-  void sendWhatWaits();
-  std::vector<consensus::Message> takeTogether();
+  void sendQueued();
+  std::vector<consensus::Message> takeBatch();
 
   boost::asio::io_context& io_;
   const Endpoint peer_;
   const distribution::ReplicaId self_, to_;
   const WallClock wall_clock_;
-  std::deque<consensus::Message> waiting_;
+  std::deque<consensus::Message> queue_;
   std::shared_ptr<Connection> connection_;
 };
 
--- a/src/replica/include/replica/replica_server.h
+++ b/src/replica/include/replica/replica_server.h
@@ -1,4 +1,5 @@
-// A replica: the engine behind a listener for subscribers, commands and peers (docs/design-distribution.md).
+// The HTTP server of a replica: serves subscribers, commands and peers, and passes their requests to the
+// engine (docs/design-distribution.md).
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,21 +25,22 @@
   distribution::ReplicaId id = 1;
   std::string region;  ///< may be empty
   boost::asio::ip::tcp::endpoint listen;
-  std::string folder;               ///< replica.db is in it; it is made where it is missing
+  std::string folder;               ///< contains replica.db; created if it does not exist
   std::vector<PeerSettings> peers;  ///< all other replicas
   std::function<void(const std::string&)> log = [](const std::string&) {};
-  /// In ms since 1970; where it is not given, the system's.
+  /// Milliseconds since the Unix epoch; defaults to the system clock.
   std::function<std::int64_t()> wall_clock = {};
-  /// Times of the consensus; which replica this is and who the others are is filled in.
+  /// Timing of the consensus protocol. `self` and `others` are set from `id` and `peers`.
   consensus::Rules rules = {};
-  /// A subscriber that has not taken a line after so long is closed.
-  std::chrono::milliseconds slow_subscriber{10'000};
+  /// A subscriber whose connection has not accepted a line within this time is disconnected.
+  std::chrono::milliseconds slow_subscriber_timeout{10'000};
 };
 
 class ReplicaServer {
  public:
-  /// Listens and takes part at once; a database that can't be used is a fault in status and log, and is tried
-  /// again. Throws std::runtime_error where it can't listen.
+  /// Starts to listen and to take part in the consensus. A database that can't be used is reported in the
+  /// status and the log, and opening it is retried. Throws std::runtime_error if the address can't be
+  /// listened on.
   ReplicaServer(boost::asio::io_context& io, Settings settings);
   ~ReplicaServer();
   ReplicaServer(const ReplicaServer&) = delete;
@@ -46,13 +48,14 @@
 
   boost::asio::ip::tcp::endpoint localEndpoint() const;
   distribution::Status status() const;
+  /// The number of subscribers that watch.
   std::size_t watches() const;
-  /// For tests: the database may have so many pages at most, as where a disk is full; 0: as many as it needs.
-  void limitPagesForTests(int most);
+  /// For tests: limits the database to `max_pages` pages to simulate a full disk; 0 removes the limit.
+  void limitPagesForTests(int max_pages);
 
-  /// Two wall clocks that are further apart are named in the status.
-  static constexpr std::int64_t kMaxClockMsApart = 60'000;
-  /// Connections besides those that watch.
+  /// A larger difference from a peer's wall clock is reported as a fault in the status.
+  static constexpr std::int64_t kMaxClockSkewMs = 60'000;
+  /// Maximum number of open connections, not counting watches.
   static constexpr std::size_t kMaxSessions = 1200;
 
  private:
--- a/src/replica/include/replica/store.h
+++ b/src/replica/include/replica/store.h
@@ -1,5 +1,5 @@
-// What a replica keeps over its restarts: its start, its vote, what its peers claimed, and the newest
-// changes. Each row has a checksum. Blocks.
+// The SQLite database of a replica: its start record, its vote, the records of its peers and the newest
+// changes. Each row has a checksum. All calls block.
 #pragma once
 
 #include <span>
@@ -16,22 +16,22 @@
 
 class Store {
  public:
-  /// Opens the file, or begins one. `kept`: how many changes stay. All calls throw sqlite::Error; a file that
-  /// is broken stays where it is.
-  Store(const std::string& file, ReplicaId self, std::size_t kept);
+  /// Opens or creates the file. `kept_changes`: how many changes are retained. All calls throw sqlite::Error;
+  /// a corrupt file is left in place.
+  Store(const std::string& file, ReplicaId self, std::size_t kept_changes);
 
-  /// Every row is held against its checksum.
+  /// Reads the whole state and verifies the checksum of every row.
   consensus::DurableState load();
-  /// All of these or none, on disk when it returns.
+  /// Writes all of these or none, in one transaction; they are on disk when it returns.
   void write(std::span<const consensus::Write> writes);
-  /// Changes from this one on that are kept, ascending: at least one where there is any, else as many as stay
-  /// within the bounds.
+  /// Returns retained changes from version `from` on, in ascending order, within the limits. A first change
+  /// longer than `max_text_bytes` is returned all the same.
   std::vector<Change> changesFrom(Version from, std::size_t max_count, std::size_t max_text_bytes);
-  /// For tests: the file may have so many pages at most, as where a disk is full.
-  void limitPages(int most);
+  /// For tests: limits the file to `max_pages` pages to simulate a full disk.
+  void limitPages(int max_pages);
 
  private:
-  void begin();
+  void createTables();
   std::string record(const std::string& name);
   void putRecord(const std::string& name, const std::string& bytes);
   void put(const consensus::SaveStart& start);
@@ -40,12 +40,12 @@
   void put(const consensus::SaveChosen& chosen);
   void loadRecords(consensus::DurableState& state);
   void loadStart(const std::string& bytes, consensus::DurableState& state);
-  Change changeOf(sqlite::Statement& row) const;
+  Change readChange(sqlite::Statement& row) const;
 
   sqlite::Database database_;
   const ReplicaId self_;
-  const std::size_t kept_;
-  std::vector<std::uint64_t> runs_;  // of starts with this file, the newest last
+  const std::size_t kept_changes_;
+  std::vector<std::uint64_t> runs_;  // run ids of the starts with this file, the newest last
   Version vote_slot_ = 0;
 };
 
--- a/src/replica/replica_server.cpp
+++ b/src/replica/replica_server.cpp
@@ -26,9 +26,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kAcceptAgain{20};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{20};
 constexpr std::size_t kMaxAcknowledgementBytes = std::size_t{16} * 1024;
-constexpr std::string_view kChanges = "/v1/changes/";
+constexpr std::string_view kChangesPath = "/v1/changes/";
 
 std::int64_t systemClock() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -37,21 +37,22 @@
 }
 
 template <typename Number>
-std::optional<Number> numberOf(std::string_view text) {
+std::optional<Number> parseNumber(std::string_view text) {
   Number number = 0;
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (ec != std::errc() || end != text.data() + text.size() || text.empty()) return std::nullopt;
   return number;
 }
 
-// Names and values of a query; nothing is escaped in those that are read here.
-std::map<std::string, std::string> readQuery(std::string_view query) {
+// Parses a query into names and values. No escapes are decoded: the parameters used here need none.
+std::map<std::string, std::string> parseQuery(std::string_view query) {
   std::map<std::string, std::string> values;
   while (!query.empty()) {
     const std::string_view pair = query.substr(0, query.find('&'));
     query.remove_prefix(std::min(query.size(), pair.size() + 1));
-    const std::size_t sign = pair.find('=');
-    if (sign != std::string_view::npos) values[std::string(pair.substr(0, sign))] = pair.substr(sign + 1);
+    const std::size_t equals_sign = pair.find('=');
+    if (equals_sign != std::string_view::npos)
+      values[std::string(pair.substr(0, equals_sign))] = pair.substr(equals_sign + 1);
   }
   return values;
 }
@@ -60,15 +61,15 @@
   return {status, distribution::formatCallError({std::move(error), std::move(detail)})};
 }
 
-// ---- the answer to a publish ----
+// ---- replies to a publish ----
 
-HttpReply replyOf(const distribution::Published& published) {
+HttpReply toReply(const distribution::Published& published) {
   return {200, distribution::formatPublished(published)};
 }
-HttpReply replyOf(const distribution::Conflict& conflict) {
+HttpReply toReply(const distribution::Conflict& conflict) {
   return {409, distribution::formatConflict(conflict)};
 }
-HttpReply replyOf(const consensus::PublishRefused& refused) {
+HttpReply toReply(const consensus::PublishRefused& refused) {
   switch (refused.fault) {
     case consensus::PublishFault::IdReused:
       return failure(400, refused.detail);
@@ -79,7 +80,7 @@
   }
   return failure(503, "no quorum", refused.detail);
 }
-HttpReply replyOf(const DiskRefused& refused) {
+HttpReply toReply(const DiskFailure& refused) {
   if (refused.fault == sqlite::Fault::Full) return failure(507, "disk full", refused.detail);
   return failure(503, std::string(nameOf(refused.fault)), refused.detail);
 }
@@ -96,14 +97,14 @@
   asio::ip::tcp::endpoint localEndpoint() const { return acceptor_.local_endpoint(); }
   distribution::Status status();
   std::size_t watches() const { return watches_.count(); }
-  void limitPagesForTests(int most) { engine_.limitPagesForTests(most); }
+  void limitPagesForTests(int max_pages) { engine_.limitPagesForTests(max_pages); }
 
   // ---- HttpHandler ----
 
   std::optional<std::size_t> bodyLimit(const std::string& method, const std::string& path) override;
-  void handle(HttpRequest request, Answer answer) override;
-  std::optional<WatchRequest> watchOf(const HttpRequest& request) override;
-  bool watch(asio::ip::tcp::socket socket, WatchRequest request) override {
+  void handle(HttpRequest request, ReplyCallback callback) override;
+  std::optional<WatchRequest> parseWatchRequest(const HttpRequest& request) override;
+  bool startWatch(asio::ip::tcp::socket socket, WatchRequest request) override {
     return watches_.add(std::move(socket), std::move(request));
   }
 
@@ -111,27 +112,27 @@
   struct Peer {
     std::unique_ptr<PeerLink> link;
     std::optional<std::int64_t> clock_ms_apart;
-    bool clock_named = false;
+    bool clock_skew_reported = false;
   };
 
   static consensus::Rules rulesOf(const Settings& settings);
-  Engine::Reports engineReports();
+  Engine::Callbacks engineCallbacks();
   Watches::Source watchSource();
   void listen();
   void accept();
-  void acceptLater();
-  void noteClock(distribution::ReplicaId from, Peer& peer, std::int64_t wall_ms);
+  void retryAccept();
+  void checkClock(distribution::ReplicaId from, Peer& peer, std::int64_t wall_ms);
   std::vector<std::string> faults();
 
-  void publish(const std::string& body, const Answer& answer);
+  void publish(const std::string& body, const ReplyCallback& callback);
   HttpReply acknowledge(const std::string& body);
   HttpReply receive(const std::string& body);
-  void readChange(std::string_view number, const Answer& answer);
+  void readChange(std::string_view number, const ReplyCallback& callback);
 
   asio::io_context& io_;
   const Settings settings_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer accept_again_;
+  asio::steady_timer accept_retry_timer_;
   Acknowledgements acknowledgements_;
   std::map<distribution::ReplicaId, Peer> peers_;
   Engine engine_;
@@ -148,7 +149,7 @@
         return std::move(settings);
       }()),
       acceptor_(io),
-      accept_again_(io),
+      accept_retry_timer_(io),
       peers_([&] {
         std::map<distribution::ReplicaId, Peer> peers;
         for (const PeerSettings& peer : settings_.peers)
@@ -156,8 +157,8 @@
               std::make_unique<PeerLink>(io, peer.endpoint, settings_.id, peer.id, settings_.wall_clock);
         return peers;
       }()),
-      engine_(io, settings_.folder, rulesOf(settings_), engineReports()),
-      watches_(io, settings_.id, settings_.slow_subscriber, watchSource()) {
+      engine_(io, settings_.folder, rulesOf(settings_), engineCallbacks()),
+      watches_(io, settings_.id, settings_.slow_subscriber_timeout, watchSource()) {
   listen();
   accept();
 }
@@ -169,13 +170,13 @@
   return rules;
 }
 
-Engine::Reports ReplicaServer::Impl::engineReports() {
+Engine::Callbacks ReplicaServer::Impl::engineCallbacks() {
   return {.send =
               [this](distribution::ReplicaId to, consensus::Message message) {
                 if (const auto peer = peers_.find(to); peer != peers_.end())
                   peer->second.link->send(std::move(message));
               },
-          .chosen = [this](const distribution::Change&) { watches_.changed(); },
+          .chosen = [this](const distribution::Change&) { watches_.onChange(); },
           .log = settings_.log};
 }
 
@@ -193,23 +194,23 @@
 // ---- connections ----
 
 void ReplicaServer::Impl::listen() {
-  const auto& at = settings_.listen;
+  const auto& endpoint = settings_.listen;
   error_code ec;
-  acceptor_.open(at.protocol(), ec);
+  acceptor_.open(endpoint.protocol(), ec);
   if (!ec) acceptor_.set_option(asio::socket_base::reuse_address(true), ec);
-  if (!ec) acceptor_.bind(at, ec);
+  if (!ec) acceptor_.bind(endpoint, ec);
   if (!ec) acceptor_.listen(asio::socket_base::max_listen_connections, ec);
   if (!ec) acceptor_.set_option(asio::socket_base::enable_connection_aborted(true), ec);
   if (ec)
-    throw std::runtime_error("can't listen at " + at.address().to_string() + ":" + std::to_string(at.port()) +
-                             ": " + ec.message());
+    throw std::runtime_error("can't listen at " + endpoint.address().to_string() + ":" +
+                             std::to_string(endpoint.port()) + ": " + ec.message());
 }
 
 void ReplicaServer::Impl::accept() {
   acceptor_.async_accept([this, alive = alive_](error_code ec, asio::ip::tcp::socket socket) {
     if (!*alive) return;
     if (ec == asio::error::connection_aborted) return accept();
-    if (ec) return acceptLater();
+    if (ec) return retryAccept();
     sessions_.remove_if([](const auto& session) { return session.expired(); });
     if (sessions_.size() < kMaxSessions) {
       const auto session = std::make_shared<HttpSession>(std::move(socket), *this);
@@ -220,9 +221,9 @@
   });
 }
 
-void ReplicaServer::Impl::acceptLater() {
-  accept_again_.expires_after(kAcceptAgain);
-  accept_again_.async_wait([this, alive = alive_](error_code ec) {
+void ReplicaServer::Impl::retryAccept() {
+  accept_retry_timer_.expires_after(kAcceptRetryDelay);
+  accept_retry_timer_.async_wait([this, alive = alive_](error_code ec) {
     if (!ec && *alive) accept();
   });
 }
@@ -234,12 +235,13 @@
   }
 }
 
-// ---- calls ----
+// ---- requests ----
 
 std::optional<std::size_t> ReplicaServer::Impl::bodyLimit(const std::string& method,
                                                           const std::string& path) {
   if (method == "GET") {
-    const bool known = path == "/v1/configuration" || path == "/v1/status" || path.rfind(kChanges, 0) == 0;
+    const bool known =
+        path == "/v1/configuration" || path == "/v1/status" || path.rfind(kChangesPath, 0) == 0;
     return known ? std::optional<std::size_t>(0) : std::nullopt;
   }
   if (method != "POST") return std::nullopt;
@@ -249,48 +251,48 @@
   return std::nullopt;
 }
 
-void ReplicaServer::Impl::handle(HttpRequest request, Answer answer) {
+void ReplicaServer::Impl::handle(HttpRequest request, ReplyCallback callback) {
   try {
-    if (request.path == "/v1/status") return answer({200, distribution::formatStatus(status())});
-    if (request.path == "/v1/acknowledgements") return answer(acknowledge(request.body));
-    if (request.path == "/v1/publish") return publish(request.body, answer);
-    if (request.path == "/v1/replica") return answer(receive(request.body));
-    if (request.path.rfind(kChanges, 0) == 0)
-      return readChange(std::string_view(request.path).substr(kChanges.size()), answer);
-    answer(failure(400, "watch=1 is missing, or from or digest can't be read"));
+    if (request.path == "/v1/status") return callback({200, distribution::formatStatus(status())});
+    if (request.path == "/v1/acknowledgements") return callback(acknowledge(request.body));
+    if (request.path == "/v1/publish") return publish(request.body, callback);
+    if (request.path == "/v1/replica") return callback(receive(request.body));
+    if (request.path.rfind(kChangesPath, 0) == 0)
+      return readChange(std::string_view(request.path).substr(kChangesPath.size()), callback);
+    callback(failure(400, "watch=1 is missing, or from or digest can't be read"));
   } catch (const CodecError& e) {
-    answer(failure(400, e.what()));
+    callback(failure(400, e.what()));
   }
 }
 
-std::optional<WatchRequest> ReplicaServer::Impl::watchOf(const HttpRequest& request) {
+std::optional<WatchRequest> ReplicaServer::Impl::parseWatchRequest(const HttpRequest& request) {
   if (request.path != "/v1/configuration") return std::nullopt;
-  const auto query = readQuery(request.query);
+  const auto query = parseQuery(request.query);
   const auto value = [&](const char* name) {
     const auto found = query.find(name);
     return found == query.end() ? std::string() : found->second;
   };
   if (value("watch") != "1") return std::nullopt;
   WatchRequest watch;
-  const auto from = numberOf<distribution::Version>(value("from"));
+  const auto from = parseNumber<distribution::Version>(value("from"));
   if (!from && query.count("from") > 0) return std::nullopt;
   watch.from = from.value_or(0);
   watch.digest = value("digest");
   if (!watch.digest.empty() && !distribution::isHexDigest(watch.digest)) return std::nullopt;
-  watch.member = numberOf<distribution::MemberId>(value("member"));
+  watch.member = parseNumber<distribution::MemberId>(value("member"));
   if (!watch.member && query.count("member") > 0) return std::nullopt;
   return watch;
 }
 
-void ReplicaServer::Impl::publish(const std::string& body, const Answer& answer) {
+void ReplicaServer::Impl::publish(const std::string& body, const ReplyCallback& callback) {
   auto request = distribution::parsePublishRequest(body);
-  engine_.publish(std::move(request), settings_.wall_clock(), [answer](PublishReply reply) {
-    answer(std::visit([](const auto& one) { return replyOf(one); }, reply));
+  engine_.publish(std::move(request), settings_.wall_clock(), [callback](PublishReply reply) {
+    callback(std::visit([](const auto& one) { return toReply(one); }, reply));
   });
 }
 
 HttpReply ReplicaServer::Impl::acknowledge(const std::string& body) {
-  acknowledgements_.take(engine_.now(), distribution::parseAcknowledgement(body));
+  acknowledgements_.record(engine_.now(), distribution::parseAcknowledgement(body));
   return {204, {}};
 }
 
@@ -301,29 +303,29 @@
     return failure(400, "replica " + std::to_string(envelope.from) + " takes this one for replica " +
                             std::to_string(envelope.to) + "; this is replica " +
                             std::to_string(settings_.id));
-  noteClock(envelope.from, peer->second, envelope.wall_ms);
+  checkClock(envelope.from, peer->second, envelope.wall_ms);
   for (const consensus::Message& message : envelope.messages) engine_.receive(envelope.from, message);
   return {204, {}};
 }
 
-void ReplicaServer::Impl::readChange(std::string_view number, const Answer& answer) {
-  const auto version = numberOf<distribution::Version>(number);
-  if (!version) return answer(failure(400, "the version is not a number"));
-  engine_.read(*version, [answer](std::optional<distribution::Change> change) {
-    answer(change ? HttpReply{200, distribution::formatChange(*change)}
-                  : failure(404, "no such version, or not kept any more"));
+void ReplicaServer::Impl::readChange(std::string_view number, const ReplyCallback& callback) {
+  const auto version = parseNumber<distribution::Version>(number);
+  if (!version) return callback(failure(400, "the version is not a number"));
+  engine_.read(*version, [callback](std::optional<distribution::Change> change) {
+    callback(change ? HttpReply{200, distribution::formatChange(*change)}
+                    : failure(404, "no such version, or not kept any more"));
   });
 }
 
 // ---- status ----
 
-void ReplicaServer::Impl::noteClock(distribution::ReplicaId from, Peer& peer, std::int64_t wall_ms) {
+void ReplicaServer::Impl::checkClock(distribution::ReplicaId from, Peer& peer, std::int64_t wall_ms) {
   peer.clock_ms_apart = wall_ms - settings_.wall_clock();
-  const bool apart = std::abs(*peer.clock_ms_apart) > kMaxClockMsApart;
-  if (apart && !peer.clock_named)
-    settings_.log("clock: that of replica " + std::to_string(from) + " is " +
-                  std::to_string(*peer.clock_ms_apart) + " ms from this one's");
-  peer.clock_named = apart;
+  const bool skewed = std::abs(*peer.clock_ms_apart) > kMaxClockSkewMs;
+  if (skewed && !peer.clock_skew_reported)
+    settings_.log("clock: replica " + std::to_string(from) + " differs by " +
+                  std::to_string(*peer.clock_ms_apart) + " ms from this replica");
+  peer.clock_skew_reported = skewed;
 }
 
 std::vector<std::string> ReplicaServer::Impl::faults() {
@@ -339,9 +341,9 @@
     if (!node->fault().empty()) add(node->fault() + votes);
   }
   for (const auto& [id, peer] : peers_) {
-    if (peer.clock_named)
-      add("clock: that of replica " + std::to_string(id) + " is " + std::to_string(*peer.clock_ms_apart) +
-          " ms from this one's");
+    if (peer.clock_skew_reported)
+      add("clock: replica " + std::to_string(id) + " differs by " + std::to_string(*peer.clock_ms_apart) +
+          " ms from this replica");
   }
   return faults;
 }
@@ -358,16 +360,16 @@
   status.faults = faults();
   status.quorum = engine_.quorum();
   for (const auto& [id, peer] : peers_) {
-    distribution::PeerStatus one;
-    one.replica = id;
-    one.clock_ms_apart = peer.clock_ms_apart;
+    distribution::PeerStatus peer_status;
+    peer_status.replica = id;
+    peer_status.clock_ms_apart = peer.clock_ms_apart;
     if (engine_.node() != nullptr) {
-      const consensus::Node::Peer& heard = engine_.node()->peers().at(id);
-      if (heard.heard) one.heard_ms_ago = (now - *heard.heard).count();
-      one.reachable = heard.heard && now - *heard.heard <= settings_.rules.heard;
-      one.version = heard.version;
+      const consensus::Node::Peer& node_peer = engine_.node()->peers().at(id);
+      if (node_peer.heard) peer_status.heard_ms_ago = (now - *node_peer.heard).count();
+      peer_status.reachable = node_peer.heard && now - *node_peer.heard <= settings_.rules.heard;
+      peer_status.version = node_peer.version;
     }
-    status.peers.push_back(one);
+    status.peers.push_back(peer_status);
   }
   status.members = acknowledgements_.status(now);
   return status;
@@ -383,6 +385,6 @@
 asio::ip::tcp::endpoint ReplicaServer::localEndpoint() const { return impl_->localEndpoint(); }
 distribution::Status ReplicaServer::status() const { return impl_->status(); }
 std::size_t ReplicaServer::watches() const { return impl_->watches(); }
-void ReplicaServer::limitPagesForTests(int most) { impl_->limitPagesForTests(most); }
+void ReplicaServer::limitPagesForTests(int max_pages) { impl_->limitPagesForTests(max_pages); }
 
 }  // namespace client_proxy::replica
--- a/src/replica/store.cpp
+++ b/src/replica/store.cpp
@@ -14,8 +14,9 @@
 using distribution::JsonObject;
 using nlohmann::json;
 
-constexpr std::uint64_t kLayout = 1;
-constexpr std::size_t kMaxRuns = 1000;  // a peer that was away for more starts takes the disk for an old one
+constexpr std::uint64_t kSchemaVersion = 1;
+constexpr std::size_t kMaxRuns =
+    1000;  // a peer that missed more starts than this reports the disk as an old one
 constexpr std::size_t kMaxRecordBytes = kMaxPeerBodyBytes;
 constexpr std::string_view kPeerPrefix = "peer ";
 
@@ -25,11 +26,11 @@
 
 }  // namespace
 
-Store::Store(const std::string& file, ReplicaId self, std::size_t kept)
-    : database_(file), self_(self), kept_(kept) {
+Store::Store(const std::string& file, ReplicaId self, std::size_t kept_changes)
+    : database_(file), self_(self), kept_changes_(kept_changes) {
   database_.run("BEGIN IMMEDIATE");
   try {
-    begin();
+    createTables();
     database_.run("COMMIT");
   } catch (...) {
     database_.rollBack();
@@ -37,7 +38,7 @@
   }
 }
 
-void Store::begin() {
+void Store::createTables() {
   database_.run(
       "CREATE TABLE IF NOT EXISTS records (name BLOB PRIMARY KEY, bytes BLOB, checksum INTEGER) WITHOUT "
       "ROWID");
@@ -45,7 +46,7 @@
       "CREATE TABLE IF NOT EXISTS changes (version INTEGER PRIMARY KEY, change BLOB, checksum INTEGER)");
   sqlite::Statement any(database_, "SELECT 1 FROM records");
   if (any.step()) return;
-  putRecord("owner", distribution::formatJson({{"layout", kLayout}, {"replica", self_}}));
+  putRecord("owner", distribution::formatJson({{"layout", kSchemaVersion}, {"replica", self_}}));
 }
 
 // ---- reading ----
@@ -57,26 +58,25 @@
     vote_slot_ = 0;
     loadRecords(state);
     sqlite::Statement changes(database_, "SELECT version, change, checksum FROM changes ORDER BY version");
-    while (changes.step()) state.changes.push_back(consensus::headOf(changeOf(changes)));
+    while (changes.step()) state.changes.push_back(consensus::headOf(readChange(changes)));
     return state;
   } catch (const CodecError& e) {
-    throw sqlite::Error(sqlite::Fault::Corrupt,
-                        database_.file() + ": a row is not as it was written: " + e.what());
+    throw sqlite::Error(sqlite::Fault::Corrupt, database_.file() + ": a row is corrupt: " + e.what());
   }
 }
 
 void Store::loadRecords(consensus::DurableState& state) {
-  bool owned = false;
+  bool owner_found = false;
   sqlite::Statement records(database_, "SELECT name, bytes, checksum FROM records");
   while (records.step()) {
     const std::string name = records.text(0), bytes = records.text(1);
     if (static_cast<std::uint64_t>(records.number(2)) != checksumOf(name, bytes))
-      throw CodecError(name, "has another checksum");
+      throw CodecError(name, "has a wrong checksum");
     const json value = distribution::parseJson(bytes, kMaxRecordBytes);
     const JsonObject object(value, name);
     if (name == "owner") {
-      owned = true;
-      if (object.number("layout") != kLayout)
+      owner_found = true;
+      if (object.number("layout") != kSchemaVersion)
         throw sqlite::Error(sqlite::Fault::Foreign,
                             database_.file() + ": was written by another version of the program");
       if (object.number("replica") != self_)
@@ -92,7 +92,7 @@
       state.peers[peer] = recordFromJson(object.object("record"));
     }
   }
-  if (!owned) throw CodecError("owner", "is missing");
+  if (!owner_found) throw CodecError("owner", "is missing");
 }
 
 void Store::loadStart(const std::string& bytes, consensus::DurableState& state) {
@@ -105,10 +105,10 @@
   state.runs.insert(runs_.begin(), runs_.end());
 }
 
-Change Store::changeOf(sqlite::Statement& row) const {
+Change Store::readChange(sqlite::Statement& row) const {
   const std::string version = std::to_string(row.number(0)), bytes = row.text(1);
   if (static_cast<std::uint64_t>(row.number(2)) != checksumOf(version, bytes))
-    throw CodecError("change " + version, "has another checksum");
+    throw CodecError("change " + version, "has a wrong checksum");
   const json value = distribution::parseJson(bytes, kMaxRecordBytes);
   return distribution::changeFromJson(JsonObject(value, "change " + version));
 }
@@ -121,15 +121,14 @@
         database_, "SELECT version, change, checksum FROM changes WHERE version >= ? ORDER BY version");
     rows.bind(from);
     while (changes.size() < max_count && rows.step()) {
-      Change change = changeOf(rows);
+      Change change = readChange(rows);
       bytes += change.text.size();
       if (!changes.empty() && bytes > max_text_bytes) break;
       changes.push_back(std::move(change));
     }
     return changes;
   } catch (const CodecError& e) {
-    throw sqlite::Error(sqlite::Fault::Corrupt,
-                        database_.file() + ": a row is not as it was written: " + e.what());
+    throw sqlite::Error(sqlite::Fault::Corrupt, database_.file() + ": a row is corrupt: " + e.what());
   }
 }
 
@@ -179,9 +178,9 @@
       .bind(bytes)
       .bind(checksumOf(std::to_string(save.change.version), bytes))
       .step();
-  if (save.change.version > kept_) {
+  if (save.change.version > kept_changes_) {
     sqlite::Statement drop(database_, "DELETE FROM changes WHERE version <= ?");
-    drop.bind(save.change.version - kept_).step();
+    drop.bind(save.change.version - kept_changes_).step();
   }
   if (vote_slot_ <= save.change.version) {
     sqlite::Statement drop(database_, "DELETE FROM records WHERE name = ?");
@@ -189,6 +188,8 @@
   }
 }
 
-void Store::limitPages(int most) { database_.run(("PRAGMA max_page_count=" + std::to_string(most)).c_str()); }
+void Store::limitPages(int max_pages) {
+  database_.run(("PRAGMA max_page_count=" + std::to_string(max_pages)).c_str());
+}
 
 }  // namespace client_proxy::replica
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -148,7 +148,7 @@
     settings.rules.hello = settings.rules.hello_joining = consensus::Time(50);
     settings.rules.publish = settings.rules.heard = consensus::Time(1500);
     settings.rules.base_ahead = consensus::Time(300);
-    settings.slow_subscriber = std::chrono::milliseconds(500);
+    settings.slow_subscriber_timeout = std::chrono::milliseconds(500);
     servers[id - 1] = std::make_unique<ReplicaServer>(io, settings);
   }
   void stop(int id) { servers[id - 1].reset(); }
@@ -443,8 +443,8 @@
   startAll();
   ASSERT_EQ(publish(3, 0, "one").status, 200U);
   ASSERT_TRUE(allHave(1));
-  EXPECT_TRUE(runUntil([&] { return hasFault(1, "clock: that of replica 3 is "); }));
-  EXPECT_FALSE(hasFault(1, "clock: that of replica 2"));
+  EXPECT_TRUE(runUntil([&] { return hasFault(1, "clock: replica 3 differs by "); }));
+  EXPECT_FALSE(hasFault(1, "clock: replica 2"));
 }
 
 // Every part of the file in turn: what is damaged is told, or has changed nothing.
