--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -1,4 +1,4 @@
-// A loop ends, also where its timer was due before it was told to.
+// Loop::end() returns even if a timer of the loop is already due when it is called.
 #include "tasks/loop.h"
 
 #include <gtest/gtest.h>
@@ -10,13 +10,14 @@
 namespace client_proxy::tasks {
 namespace {
 
-TEST(LoopTest, EndsThoughItsTimerWasDueBefore) {
+TEST(LoopTest, EndsWhenItsTimerIsAlreadyDue) {
   constexpr int kRounds = 10;
   auto rounds = std::async(std::launch::async, [] {
     for (int round = 0; round < kRounds; ++round) {
       Loop loop("test");
       std::promise<void> busy;
-      // Longer than the timer's time; what is posted meanwhile waits together with the timer.
+      // Sleeps longer than the timer's interval, so that the expired timer and the posted handlers are ready
+      // at once.
       for (int n = 0; n < 2; ++n)
         boost::asio::post(loop.io(), [&busy, n] {
           if (n == 0) busy.set_value();
@@ -27,8 +28,8 @@
     }
   });
   if (rounds.wait_for(std::chrono::seconds(30)) == std::future_status::ready) return;
-  std::fprintf(stderr, "the loop has not ended\n");
-  std::_Exit(1);  // its thread can't be joined
+  std::fprintf(stderr, "Loop::end() did not return within 30 s\n");
+  std::_Exit(1);  // the loop's thread can't be joined
 }
 
 }  // namespace
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -1,4 +1,4 @@
-// Four replicas over loopback sockets: publishing, watching, and disks, clocks and subscribers that fail.
+// Four replicas over loopback sockets: publishing, watching, and faults of disks, clocks and subscribers.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 #include <unistd.h>
@@ -32,7 +32,8 @@
 using distribution::Published;
 using Endpoint = asio::ip::tcp::endpoint;
 
-// A port of an address that only this process uses.
+// A free port of a loopback address derived from the process id, so that tests running in parallel don't
+// collide.
 Endpoint freeEndpoint(asio::io_context& io, int number) {
   const auto pid = static_cast<unsigned>(getpid());
   const asio::ip::address_v4 address({127, static_cast<unsigned char>(64 + (pid >> 8U) % 128),
@@ -41,14 +42,14 @@
   return asio::ip::tcp::acceptor(io, {address, 0}).local_endpoint();
 }
 
-// A subscriber that keeps the lines it was sent.
+// A subscriber that records the lines it receives.
 class Subscriber : public std::enable_shared_from_this<Subscriber> {
  public:
-  Subscriber(asio::io_context& io, Endpoint at, std::string query)
-      : socket_(io), at_(at), query_(std::move(query)) {}
+  Subscriber(asio::io_context& io, Endpoint endpoint, std::string query)
+      : socket_(io), endpoint_(endpoint), query_(std::move(query)) {}
   ~Subscriber() { stop(); }
   void start(bool reads = true) {
-    socket_.async_connect(at_, [self = shared_from_this(), reads](error_code ec) {
+    socket_.async_connect(endpoint_, [self = shared_from_this(), reads](error_code ec) {
       if (ec) return;
       self->request_ = "GET /v1/configuration?watch=1" + self->query_ + " HTTP/1.1\r\nHost: x\r\n\r\n";
       asio::async_write(self->socket_, asio::buffer(self->request_),
@@ -70,49 +71,49 @@
 
  private:
   void read() {
-    socket_.async_read_some(asio::buffer(part_),
+    socket_.async_read_some(asio::buffer(read_buffer_),
                             [self = shared_from_this()](error_code ec, std::size_t size) {
                               if (ec) {
                                 self->ended = true;
                                 return;
                               }
-                              self->received_.append(self->part_.data(), size);
-                              self->takeChunks();
+                              self->received_.append(self->read_buffer_.data(), size);
+                              self->parseChunks();
                               self->read();
                             });
   }
-  void takeChunks() {
-    if (!head_taken_) {
+  void parseChunks() {
+    if (!head_skipped_) {
       const std::size_t end = received_.find("\r\n\r\n");
       if (end == std::string::npos) return;
       received_.erase(0, end + 4);
-      head_taken_ = true;
+      head_skipped_ = true;
     }
     for (;;) {
       const std::size_t line = received_.find("\r\n");
       if (line == std::string::npos) return;
       const std::size_t size = std::stoul(received_.substr(0, line), nullptr, 16);
       if (received_.size() < line + 2 + size + 2) return;
-      take(distribution::parseWatchLine(std::string_view(received_).substr(line + 2, size - 1)));
+      handleLine(distribution::parseWatchLine(std::string_view(received_).substr(line + 2, size - 1)));
       received_.erase(0, line + 2 + size + 2);
     }
   }
-  void take(const distribution::WatchLine& line) {
+  void handleLine(const distribution::WatchLine& line) {
     if (const auto* change = std::get_if<ChangeNotice>(&line)) changes.push_back(*change);
     if (const auto* notice = std::get_if<distribution::QuorumNotice>(&line)) quorum.push_back(notice->quorum);
     heartbeats += std::holds_alternative<distribution::Heartbeat>(line) ? 1 : 0;
   }
 
   asio::ip::tcp::socket socket_;
-  const Endpoint at_;
+  const Endpoint endpoint_;
   const std::string query_;
   std::string request_, received_;
-  std::array<char, 65536> part_{};
-  bool head_taken_ = false;
+  std::array<char, 65536> read_buffer_{};
+  bool head_skipped_ = false;
 };
 
 struct Reply {
-  unsigned status = 0;  // 0: no answer
+  unsigned status = 0;  // 0: no reply
   std::string body;
 };
 
@@ -162,17 +163,18 @@
   std::string folderOf(int id) const { return folder + "/" + std::to_string(id); }
   std::string fileOf(int id) const { return folderOf(id) + "/replica.db"; }
   ReplicaServer& server(int id) { return *servers[id - 1]; }
-  bool hasFault(int id, const std::string& begin) {
+  bool hasFault(int id, const std::string& prefix) {
     for (const std::string& fault : server(id).status().faults) {
-      if (fault.rfind(begin, 0) == 0) return true;
+      if (fault.rfind(prefix, 0) == 0) return true;
     }
     return false;
   }
 
-  bool runUntil(const std::function<bool()>& holds) {
-    constexpr std::chrono::seconds kMost{30};
-    for (const auto end = std::chrono::steady_clock::now() + kMost; std::chrono::steady_clock::now() < end;) {
-      if (holds()) return true;
+  bool runUntil(const std::function<bool()>& condition) {
+    constexpr std::chrono::seconds kTimeout{30};
+    for (const auto end = std::chrono::steady_clock::now() + kTimeout;
+         std::chrono::steady_clock::now() < end;) {
+      if (condition()) return true;
       io.restart();
       io.run_one_for(std::chrono::milliseconds(20));
     }
@@ -205,7 +207,7 @@
     return call(id, http::verb::post, "/v1/publish",
                 distribution::formatPublishRequest({publish_id, "op", base, text}));
   }
-  bool allHave(distribution::Version version) {
+  bool allReachVersion(distribution::Version version) {
     return runUntil([&] {
       return std::all_of(servers.begin(), servers.end(),
                          [&](const auto& server) { return !server || server->status().version == version; });
@@ -227,24 +229,24 @@
   std::vector<std::shared_ptr<Subscriber>> subscribers;
 };
 
-TEST_F(ReplicaTest, AChangeReachesTheSubscribersOfAllAndTheirAcknowledgementsAreShown) {
+TEST_F(ReplicaTest, ChangeReachesSubscribersOfAllReplicasAndStatusShowsAcknowledgements) {
   startAll();
   std::vector<std::shared_ptr<Subscriber>> all;
   for (int id = 1; id <= kReplicas; ++id)
     all.push_back(subscribe(id, "&member=" + std::to_string(id) + "&from=0"));
   const std::string first(2000, 'a'), second = first + "b";
   EXPECT_EQ(distribution::parsePublished(publish(1, 0, first).body), (Published{1, digestOf(first)}));
-  const auto have = [&](distribution::Version version) {
+  const auto allReceived = [&](distribution::Version version) {
     return runUntil([&] {
       return std::all_of(all.begin(), all.end(), [&](const auto& one) {
         return one->lastChange() != nullptr && one->lastChange()->version == version;
       });
     });
   };
-  ASSERT_TRUE(have(1));
+  ASSERT_TRUE(allReceived(1));
   EXPECT_EQ(std::get<std::string>(all[3]->lastChange()->content), first);
   EXPECT_EQ(publish(2, 1, second).status, 200U);
-  ASSERT_TRUE(have(2));
+  ASSERT_TRUE(allReceived(2));
   for (const auto& one : all) {
     const auto& delta = std::get<Delta>(one->lastChange()->content);
     EXPECT_EQ(distribution::applyDelta(delta, first), second);
@@ -258,7 +260,8 @@
         .status;
   };
   EXPECT_EQ(acknowledge(7, 1, std::optional(refusal)), 204U);
-  EXPECT_EQ(acknowledge(6, 0, std::optional<distribution::Refusal>()), 204U) << "overtaken by the one before";
+  EXPECT_EQ(acknowledge(6, 0, std::optional<distribution::Refusal>()), 204U)
+      << "an older sequence number is ignored";
   const auto status = distribution::parseStatus(call(3, http::verb::get, "/v1/status").body);
   ASSERT_EQ(status.members.size(), 1U);
   EXPECT_TRUE(status.members[0].connected);
@@ -269,40 +272,40 @@
   EXPECT_TRUE(runUntil([&] { return !server(3).status().members[0].connected; }));
 }
 
-TEST_F(ReplicaTest, AWatchBeginsWithWhatTheSubscriberLacks) {
+TEST_F(ReplicaTest, WatchStartsWithDeltaFullTextOrNothingDependingOnSubscribersVersion) {
   startAll();
   std::string text;
   for (distribution::Version version = 0; version < 20; ++version) {
     text += std::string(100, static_cast<char>('a' + version)) + "\n";
     ASSERT_EQ(publish(1, version, text).status, 200U);
   }
-  ASSERT_TRUE(allHave(20));
+  ASSERT_TRUE(allReachVersion(20));
   const std::string digest = digestOf(text), nineteenth = digestOf(text.substr(0, 19 * 101));
   const auto newest = subscribe(2, "&from=20&digest=" + digest);
   const auto one_behind = subscribe(2, "&from=19&digest=" + nineteenth);
   const auto far_behind = subscribe(2, "&from=1&digest=" + digestOf(text.substr(0, 101)));
-  const auto mistaken = subscribe(2, "&from=19&digest=" + digest);
+  const auto wrong_digest = subscribe(2, "&from=19&digest=" + digest);
   const auto ahead = subscribe(2, "&from=21&digest=" + digest);
   ASSERT_TRUE(runUntil([&] {
-    return one_behind->lastChange() && far_behind->lastChange() && mistaken->lastChange() &&
+    return one_behind->lastChange() && far_behind->lastChange() && wrong_digest->lastChange() &&
            newest->heartbeats > 0 && ahead->heartbeats > 0;
   }));
   EXPECT_TRUE(std::holds_alternative<Delta>(one_behind->lastChange()->content));
   EXPECT_TRUE(std::holds_alternative<std::string>(far_behind->lastChange()->content));
-  EXPECT_TRUE(std::holds_alternative<std::string>(mistaken->lastChange()->content));
+  EXPECT_TRUE(std::holds_alternative<std::string>(wrong_digest->lastChange()->content));
   EXPECT_TRUE(newest->changes.empty() && ahead->changes.empty());
   EXPECT_EQ(distribution::parseChange(call(3, http::verb::get, "/v1/changes/1").body).text,
             text.substr(0, 101));
   EXPECT_EQ(call(3, http::verb::get, "/v1/changes/21").status, 404U);
 }
 
-TEST_F(ReplicaTest, ConflictsRepeatsAndBadRequestsAreAnsweredSo) {
+TEST_F(ReplicaTest, ConflictsRepeatedPublishesAndBadRequestsGetMatchingReplies) {
   startAll();
   ASSERT_EQ(publish(1, 0, "one", "key").status, 200U);
-  ASSERT_TRUE(allHave(1));
+  ASSERT_TRUE(allReachVersion(1));
   EXPECT_EQ(distribution::parseConflict(publish(2, 0, "other").body), (distribution::Conflict{1, "op"}));
   EXPECT_EQ(distribution::parsePublished(publish(3, 0, "one", "key").body), (Published{1, digestOf("one")}));
-  EXPECT_EQ(publish(3, 1, "two", "key").status, 400U) << "the id has another text";
+  EXPECT_EQ(publish(3, 1, "two", "key").status, 400U) << "the id was used with another text";
   EXPECT_EQ(publish(4, 7, "far ahead").status, 409U);
   EXPECT_EQ(call(1, http::verb::post, "/v1/publish", R"({"id":"x"})").body,
             R"({"error":"id: is not 32 lower-case hex digits"})");
@@ -315,10 +318,10 @@
             400U);
 }
 
-TEST_F(ReplicaTest, WithTwoOfFourGoneNothingIsChosenAndTheRestServes) {
+TEST_F(ReplicaTest, WithoutQuorumNothingIsChosenAndRemainingReplicasServe) {
   startAll();
   ASSERT_EQ(publish(1, 0, "one").status, 200U);
-  ASSERT_TRUE(allHave(1));
+  ASSERT_TRUE(allReachVersion(1));
   stop(3);
   stop(4);
   const Reply reply = publish(1, 1, "two");
@@ -332,28 +335,28 @@
   start(4);
   ASSERT_TRUE(runUntil([&] { return server(1).status().quorum && server(3).status().quorum; }));
   EXPECT_EQ(distribution::parsePublished(publish(3, 1, "two").body), (Published{2, digestOf("two")}))
-      << "the same id again";
+      << "a retry with the same id";
   ASSERT_TRUE(runUntil([&] { return subscriber->lastChange()->version == 2; }));
   EXPECT_TRUE(runUntil([&] { return subscriber->quorum.back(); }));
 }
 
-TEST_F(ReplicaTest, AnOldDiskIsNamedAndFetchesWhatItLacks) {
+TEST_F(ReplicaTest, OldOrEmptiedDiskIsReportedAndMissingChangesAreFetched) {
   startAll();
   ASSERT_EQ(publish(1, 0, "one").status, 200U);
-  ASSERT_TRUE(allHave(1));
+  ASSERT_TRUE(allReachVersion(1));
   stop(2);
   fs::copy(folderOf(2), folder + "/backup", fs::copy_options::recursive);
   start(2);
   ASSERT_TRUE(runUntil([&] { return server(2).status().quorum; }));
   ASSERT_EQ(publish(1, 1, "two").status, 200U);
-  ASSERT_TRUE(allHave(2));
+  ASSERT_TRUE(allReachVersion(2));
   stop(2);
   fs::remove_all(folderOf(2));
   fs::rename(folder + "/backup", folderOf(2));
   start(2);
   EXPECT_EQ(server(2).status().version, 1U);
   ASSERT_TRUE(runUntil([&] { return server(2).status().quorum; }));
-  ASSERT_TRUE(allHave(2));
+  ASSERT_TRUE(allReachVersion(2));
   EXPECT_TRUE(hasFault(2, "old disk: ")) << logs[1];
   EXPECT_NE(logs[1].find("old disk: "), std::string::npos);
   stop(2);
@@ -361,33 +364,33 @@
   logs[1].clear();
   start(2);
   ASSERT_TRUE(runUntil([&] { return server(2).status().quorum; }));
-  EXPECT_TRUE(hasFault(2, "old disk: ")) << "an empty one as well";
-  ASSERT_TRUE(allHave(2));
+  EXPECT_TRUE(hasFault(2, "old disk: ")) << "an emptied disk is reported as well";
+  ASSERT_TRUE(allReachVersion(2));
   EXPECT_EQ(publish(2, 2, "three").status, 200U);
 }
 
-TEST_F(ReplicaTest, AFullDiskIsSaidAndTheReplicaComesBackWhenThereIsRoom) {
+TEST_F(ReplicaTest, FullDiskIsReportedAndReplicaRecoversOnceThereIsSpace) {
   startAll();
   ASSERT_EQ(publish(1, 0, "one").status, 200U);
-  ASSERT_TRUE(allHave(1));
+  ASSERT_TRUE(allReachVersion(1));
   server(2).limitPagesForTests(1);
   const std::string large(200'000, 'x');
   EXPECT_EQ(publish(2, 1, large, "key").status, 507U);
   ASSERT_TRUE(runUntil([&] { return hasFault(2, "full disk: "); }));
   ASSERT_EQ(publish(1, 1, large, "key").status, 200U);
-  EXPECT_EQ(server(2).status().version, 1U) << "it serves what it has on disk";
+  EXPECT_EQ(server(2).status().version, 1U) << "it keeps serving the version on its disk";
   EXPECT_FALSE(server(2).status().quorum);
   server(2).limitPagesForTests(0);
-  ASSERT_TRUE(allHave(2));
+  ASSERT_TRUE(allReachVersion(2));
   EXPECT_FALSE(hasFault(2, "full disk: "));
   EXPECT_FALSE(hasFault(2, "old disk: "));
 }
 
-TEST_F(ReplicaTest, ADiskReplacedUnderAFailingReplicaIsNoStepBack) {
+TEST_F(ReplicaTest, ReplacingDiskOfFailingReplicaNeverLowersItsVersion) {
   startAll();
   for (distribution::Version version = 0; version < 3; ++version)
     ASSERT_EQ(publish(1, version, "text " + std::to_string(version)).status, 200U);
-  ASSERT_TRUE(allHave(3));
+  ASSERT_TRUE(allReachVersion(3));
   const auto subscriber = subscribe(2, "&from=0");
   server(2).limitPagesForTests(1);
   ASSERT_EQ(publish(2, 3, std::string(200'000, 'x'), "key").status, 507U);
@@ -406,10 +409,10 @@
   }
 }
 
-TEST_F(ReplicaTest, ABrokenDatabaseIsNamedStaysAndIsNotVotedWith) {
+TEST_F(ReplicaTest, BrokenDatabaseIsReportedLeftInPlaceAndRefusesPublishes) {
   startAll();
   ASSERT_EQ(publish(1, 0, std::string(20'000, 'x')).status, 200U);
-  ASSERT_TRUE(allHave(1));
+  ASSERT_TRUE(allReachVersion(1));
   stop(4);
   fs::resize_file(fileOf(4), 5000);
   start(4);
@@ -418,15 +421,15 @@
   EXPECT_EQ(publish(1, 1, "two").status, 200U);
   EXPECT_EQ(fs::file_size(fileOf(4)), 5000U);
   fs::remove_all(folderOf(4));
-  ASSERT_TRUE(allHave(2));
+  ASSERT_TRUE(allReachVersion(2));
   EXPECT_TRUE(hasFault(4, "old disk: "));
 }
 
-TEST_F(ReplicaTest, ASlowSubscriberIsClosedAndOthersServed) {
+TEST_F(ReplicaTest, SlowSubscriberIsDisconnectedAndOthersAreServed) {
   startAll();
   const auto reader = subscribe(1, "&from=0");
-  const auto mute = std::make_shared<Subscriber>(io, endpoints[0], "&from=0");
-  mute->start(false);
+  const auto stalled = std::make_shared<Subscriber>(io, endpoints[0], "&from=0");
+  stalled->start(false);
   ASSERT_TRUE(runUntil([&] { return server(1).watches() == 2; }));
   distribution::Version version = 0;
   while (server(1).watches() == 2 && version < 40) {
@@ -438,17 +441,18 @@
   EXPECT_EQ(server(1).watches(), 1U);
 }
 
-TEST_F(ReplicaTest, AClockAnHourOffIsNamedAndDecidesNothing) {
+TEST_F(ReplicaTest, SkewedWallClockIsReportedAndDoesNotPreventPublishing) {
   clocks = {0, 0, 1'000'000'000'000, 0};
   startAll();
   ASSERT_EQ(publish(3, 0, "one").status, 200U);
-  ASSERT_TRUE(allHave(1));
+  ASSERT_TRUE(allReachVersion(1));
   EXPECT_TRUE(runUntil([&] { return hasFault(1, "clock: replica 3 differs by "); }));
   EXPECT_FALSE(hasFault(1, "clock: replica 2"));
 }
 
-// Every part of the file in turn: what is damaged is told, or has changed nothing.
-TEST_F(ReplicaTest, ADamagedPageIsToldOrMeansNothing) {
+// Overwrites 16 bytes at every multiple of 256 bytes in turn: loading the file either reports the damage or
+// returns the complete state.
+TEST_F(ReplicaTest, DamagedDatabaseFileIsDetectedOrLoadsCompletely) {
   fs::create_directories(folderOf(1));
   constexpr distribution::Version kChanges = 8;
   {
@@ -461,11 +465,11 @@
     }
     store.write(writes);
   }
-  const std::string whole = folder + "/whole";
-  fs::copy_file(fileOf(1), whole);
-  int told = 0;
-  for (std::streamoff at = 0; at < static_cast<std::streamoff>(fs::file_size(whole)); at += 256) {
-    fs::copy_file(whole, fileOf(1), fs::copy_options::overwrite_existing);
+  const std::string undamaged = folder + "/undamaged";
+  fs::copy_file(fileOf(1), undamaged);
+  int detected = 0;
+  for (std::streamoff at = 0; at < static_cast<std::streamoff>(fs::file_size(undamaged)); at += 256) {
+    fs::copy_file(undamaged, fileOf(1), fs::copy_options::overwrite_existing);
     std::fstream(fileOf(1), std::ios::in | std::ios::out | std::ios::binary).seekp(at) << "XXXXXXXXXXXXXXXX";
     try {
       Store store(fileOf(1), 1, 1000);
@@ -474,12 +478,12 @@
       EXPECT_EQ(state.start_count, 3U) << at;
     } catch (const sqlite::Error& e) {
       EXPECT_NE(std::string(e.what()).find(fileOf(1)), std::string::npos) << e.what();
-      ++told;
+      ++detected;
     }
   }
-  EXPECT_GT(told, 10);
-  fs::copy_file(whole, fileOf(1), fs::copy_options::overwrite_existing);
-  EXPECT_THROW(Store(fileOf(1), 2, 1000).load(), sqlite::Error) << "another replica's";
+  EXPECT_GT(detected, 10);
+  fs::copy_file(undamaged, fileOf(1), fs::copy_options::overwrite_existing);
+  EXPECT_THROW(Store(fileOf(1), 2, 1000).load(), sqlite::Error) << "the database belongs to another replica";
 }
 
 }  // namespace
